--- a/src/peridotpost/proxy/__init__.py
+++ b/src/peridotpost/proxy/__init__.py
@@ -1,5 +1,5 @@
-"""The path of a request: caller, ingress, guard of the target's host, target.
+"""Request path: caller, ingress, guard of the target's host, target.
 
-HTTP/1.1 is read by a C parser, frames between daemons are msgpack; no task,
-timer or log line is spent on a request that ends well.
+HTTP/1.1 is parsed by a C parser; frames between daemons are msgpack.  A
+request that succeeds creates no task, timer or log line of its own.
 """
--- a/src/peridotpost/proxy/client.py
+++ b/src/peridotpost/proxy/client.py
@@ -1,7 +1,7 @@
-"""A client for calls of our own: one connection, one call at a time.
+"""HTTP client for the daemon's own calls to the platform's store.
 
-For the platform's store.  Calls of targets do not go this way; they need
-neither a task nor a future.
+A connection carries one call at a time.  Requests to targets do not use this
+client, as they need neither a task nor a future.
 """
 
 import asyncio
@@ -13,24 +13,24 @@
 from peridotpost.proxy import http1
 from peridotpost.proxy import names
 
-NO_NAMES = names.HeaderNames(b'', b'', b'', b'', b'', b'')
+NO_HEADER_NAMES = names.HeaderNames(b'', b'', b'', b'', b'', b'')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
 
 
 class ClientProtocol(asyncio.Protocol):
-    """Reads answers to one request at a time."""
+    """Client side of a connection that has at most one request in flight."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.waiter: asyncio.Future[Response] | None = None
-        self.reader = http1.MessageReader(NO_NAMES, self)
+        self.reader = http1.MessageReader(NO_HEADER_NAMES, self)
         self.parser = http1.response_parser(self.reader)
         self.reusable = True
         self.closed = False
@@ -70,11 +70,11 @@
 
 
 class HttpClient:
-    """Calls one address; keeps one connection between calls.
+    """HTTP client for one address that keeps one idle connection.
 
-    Calls at the same time take a connection each.
+    Each concurrent call uses a connection of its own.
 
-    :param connect_s: bound on opening the connection.
+    :param connect_s: timeout for opening a connection.
     """
 
     def __init__(self, address: str, port: int, connect_s: float) -> None:
@@ -87,9 +87,9 @@
     async def call(
         self, method: bytes, target: bytes, body: bytes, timeout_s: float
     ) -> Response:
-        """Send a request and return the answer.
+        """Send a request and return the response.
 
-        :raises OSError: no whole answer came, in time or at all.
+        :raises OSError: no complete response arrived within `timeout_s`.
         """
         connection = self.connection
         self.connection = None
@@ -97,10 +97,10 @@
             async with asyncio.timeout(timeout_s):
                 if connection is None or connection.closed:
                     connection = await self._open()
-                payload = self._render(method, target, body)
-                response = await _ask(connection, payload)
+                payload = self._render_request(method, target, body)
+                response = await _exchange(connection, payload)
         except BaseException:
-            # What is still to come on it would answer the next call.
+            # A late response would be taken for that of the next call.
             if connection is not None:
                 connection.close()
             raise
@@ -115,7 +115,9 @@
         if self.connection is not None:
             self.connection.close()
 
-    def _render(self, method: bytes, target: bytes, body: bytes) -> bytes:
+    def _render_request(
+        self, method: bytes, target: bytes, body: bytes
+    ) -> bytes:
         head = self.head
         if body:
             head += b'Content-Type: application/json\r\n'
@@ -130,7 +132,7 @@
         return connection
 
 
-async def _ask(connection: ClientProtocol, payload: bytes) -> Response:
+async def _exchange(connection: ClientProtocol, payload: bytes) -> Response:
     assert connection.transport is not None
     waiter = asyncio.get_running_loop().create_future()
     connection.waiter = waiter
--- a/src/peridotpost/proxy/deadlines.py
+++ b/src/peridotpost/proxy/deadlines.py
@@ -1,8 +1,8 @@
-"""Deadlines that cost next to nothing while they are met.
+"""Coarse timer for many deadlines that rarely expire.
 
-Nearly every request ends long before its deadline, so a timer each would
-be set and cancelled for nothing.  Here deadlines fall into slots of
-``SLOT_S``; one timer wakes for the next slot that is not empty.
+Nearly every request ends long before its deadline, so a timer for each would
+be set and cancelled for nothing.  Deadlines are grouped into time slots of
+``SLOT_S``, and a single timer is armed for the earliest slot in use.
 """
 
 import asyncio
@@ -11,21 +11,22 @@
 import time
 
 SLOT_S = 0.01
-"""How late an expiry may be noticed; a fiftieth of the shortest timeouts
-that operators set."""
+"""Width of a time slot, which bounds how late an expiry is noticed; a fiftieth
+of the shortest timeouts that operators set."""
 
 
 def now() -> float:
-    """Return seconds since boot, suspended time included.
+    """Return seconds since boot, including time spent suspended.
 
-    The steady clock stands still while a machine is suspended.  A process
-    that wakes would take requests whose callers gave up for fresh ones.
+    ``CLOCK_MONOTONIC`` stops while the machine is suspended.  With it, a
+    process that resumes would treat requests whose callers gave up meanwhile
+    as still within their deadlines.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Deadlines:
-    """Calls back for what is still registered when its time has come."""
+    """Calls the callback of each key still registered at its deadline."""
 
     def __init__(self) -> None:
         self.slots: dict[int, dict[object, Callable[[], None]]] = {}
@@ -33,23 +34,25 @@
         self.handle: asyncio.TimerHandle | None = None
         self.armed = 0
 
-    def add(self, at: float, key: object, expired: Callable[[], None]) -> int:
-        """Register `key`; return the slot, which `discard` wants back."""
+    def add(
+        self, at: float, key: object, on_expiry: Callable[[], None]
+    ) -> int:
+        """Register `key` and return its time slot, to pass to `discard`."""
         slot = int(at / SLOT_S) + 1
-        held = self.slots.get(slot)
-        if held is not None:
-            held[key] = expired
+        callbacks = self.slots.get(slot)
+        if callbacks is not None:
+            callbacks[key] = on_expiry
             return slot
-        self.slots[slot] = {key: expired}
+        self.slots[slot] = {key: on_expiry}
         heapq.heappush(self.order, slot)
         if self.handle is None or slot < self.armed:
             self._arm()
         return slot
 
     def discard(self, slot: int, key: object) -> None:
-        held = self.slots.get(slot)
-        if held is not None:
-            held.pop(key, None)
+        callbacks = self.slots.get(slot)
+        if callbacks is not None:
+            callbacks.pop(key, None)
 
     def close(self) -> None:
         if self.handle is not None:
@@ -66,13 +69,13 @@
         self.armed = self.order[0]
         delay = max(0.0, self.armed * SLOT_S - now())
         loop = asyncio.get_running_loop()
-        self.handle = loop.call_later(delay, self._sweep)
+        self.handle = loop.call_later(delay, self._expire_due)
 
-    def _sweep(self) -> None:
+    def _expire_due(self) -> None:
         self.handle = None
         due = int(now() / SLOT_S)
         while self.order and self.order[0] <= due:
-            held = self.slots.pop(heapq.heappop(self.order))
-            for expired in held.values():
-                expired()
+            callbacks = self.slots.pop(heapq.heappop(self.order))
+            for on_expiry in callbacks.values():
+                on_expiry()
         self._arm()
--- a/src/peridotpost/proxy/deltas.py
+++ b/src/peridotpost/proxy/deltas.py
@@ -1,13 +1,13 @@
-"""Differences between two configuration texts.
+"""Binary deltas between two configuration texts.
 
-A text of 1,600 routes is some 300 KB and a change of it a few lines.  On a
-link of 5 Mbit/s the whole takes half a second, in which nothing else gets
-through; the difference takes a packet.
+A configuration of 1,600 routes is some 300 KB, and a change to it a few
+lines.  On a link of 5 Mbit/s the full text takes half a second, during which
+nothing else gets through; the delta fits into one packet.
 
-Texts are cut behind each ``},``, that is, into routes and services; parts
-that the receiver holds are named by their place there.  What is new is
-deflated: a thousand new routes are 190 KB, which took a link of 3.5 Mbit/s
-0.4 s, and 21 KB so.
+Texts are split after each ``},``, that is, into routes and services.  Pieces
+that the receiver already has are referenced by index, and new ones are sent
+deflated: a thousand new routes are 190 KB, which take 0.4 s on a link of
+3.5 Mbit/s, and 21 KB when deflated.
 """
 
 from collections.abc import Sequence
@@ -15,14 +15,15 @@
 
 import msgspec
 
-CUT = b'},'
+PIECE_END = b'},'
 COMPRESSION_LEVEL = 3
 
 
 class Part(msgspec.Struct, array_like=True):
-    """A run of pieces of the old text, then new bytes.
+    """A run of pieces copied from the old text, followed by new bytes.
 
-    :param start: first piece of the run; `count` of them are taken.
+    :param start: index of the first piece of the run.
+    :param count: number of pieces copied.
     """
 
     start: int
@@ -31,7 +32,7 @@
 
 
 class Delta(msgspec.Struct, array_like=True):
-    """How to make a new text out of an old one.
+    """Instructions to build a new text from an old one.
 
     :param checksum: CRC-32 of the new text.
     """
@@ -41,23 +42,23 @@
 
 
 class BadDelta(ValueError):
-    """A delta does not fit the text that it is applied to."""
+    """A delta is malformed or was made for a different base text."""
 
 
 def make(old: bytes, new: bytes) -> Delta:
-    """Return what leads from `old` to `new`."""
-    places = {piece: index for index, piece in enumerate(_pieces(old))}
+    """Return the delta that turns `old` into `new`."""
+    old_indices = {piece: index for index, piece in enumerate(_split(old))}
     parts: list[Part] = []
     current = Part(0, 0, b'')
-    for piece in _pieces(new):
-        place = places.get(piece)
-        if place is None:
+    for piece in _split(new):
+        old_index = old_indices.get(piece)
+        if old_index is None:
             current.literal += piece
             continue
-        follows = place == current.start + current.count
-        if current.literal or not (follows and current.count):
+        continues_run = old_index == current.start + current.count
+        if current.literal or not (continues_run and current.count):
             parts.append(current)
-            current = Part(place, 1, b'')
+            current = Part(old_index, 1, b'')
         else:
             current.count += 1
     parts.append(current)
@@ -65,40 +66,42 @@
 
 
 def apply(old: bytes, delta: Delta) -> bytes:
-    """Return the new text.
+    """Apply a delta to `old` and return the new text.
 
-    :raises BadDelta: it was made for another text.
+    :raises BadDelta: `delta` was made for a different base text.
     """
-    pieces = _pieces(old)
-    found: list[bytes] = []
+    old_pieces = _split(old)
+    new_pieces: list[bytes] = []
     for part in delta.parts:
-        found += pieces[part.start : part.start + part.count]
-        found.append(part.literal)
-    new = b''.join(found)
+        new_pieces += old_pieces[part.start : part.start + part.count]
+        new_pieces.append(part.literal)
+    new = b''.join(new_pieces)
     if zlib.crc32(new) != delta.checksum:
-        raise BadDelta('the base is another text; ask for the whole')
+        raise BadDelta('delta does not match the base; fetch the full text')
     return new
 
 
 def pack(delta: Delta) -> bytes:
-    """Return a delta as it is sent."""
+    """Encode and compress a delta for sending."""
     return zlib.compress(msgspec.msgpack.encode(delta), COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> Delta:
-    """Return the delta that `pack` was given.
+    """Decode a delta encoded by `pack`.
 
-    :raises BadDelta: it is none.
+    :raises BadDelta: `packed` is not a valid delta.
     """
     try:
         raw = zlib.decompress(packed)
         return msgspec.msgpack.decode(raw, type=Delta)
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise BadDelta(f'not a delta ({error}); ask for the whole') from error
+        raise BadDelta(
+            f'invalid delta ({error}); fetch the full text'
+        ) from error
 
 
-def _pieces(text: bytes) -> Sequence[bytes]:
+def _split(text: bytes) -> Sequence[bytes]:
     if not text:
         return ()
-    *pieces, rest = text.split(CUT)
-    return [*(piece + CUT for piece in pieces), rest]
+    *pieces, rest = text.split(PIECE_END)
+    return [*(piece + PIECE_END for piece in pieces), rest]
--- a/src/peridotpost/proxy/exchange.py
+++ b/src/peridotpost/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""What an ingress knows of one request until it is answered."""
+"""State that an ingress keeps for a request until it is answered."""
 
 from typing import Protocol
 
@@ -10,34 +10,36 @@
 from peridotpost.proxy import http1
 from peridotpost.proxy import listener
 
-NO_TARGET_RETURN_S = 0.25
-"""When to come back where no guard said: targets announce themselves, and
-streams are dialled again, within about that time."""
+NO_TARGET_RETRY_AFTER_S = 0.25
+"""Retry-After sent when no guard gave one.  Targets announce themselves, and
+lost streams are reopened, within about this time."""
 
 
-class Owner(Protocol):
-    """Works on exchanges."""
+class ExchangeOwner(Protocol):
+    """Processes exchanges."""
 
     def abandoned(self, exchange: 'Exchange') -> None:
-        """The caller has gone; nothing more is done for it."""
+        """Stop work on a request whose caller disconnected."""
 
 
 class Exchange:
-    """One request of a caller until it is answered.
+    """One request of a caller, from its arrival to its response.
 
-    :param tried: hosts whose guards were asked, in that order.
-    :param order: the dispatch under way; None between two.
-    :param slot: of its deadline in the sweep.
-    :param over: whether it was answered, or its caller has gone.
-    :param last_asked: whether a guard was told that nobody else is asked.
-    :param retry_after_s: when to come back, as the last guard said.
-    :param first_at: when its caller first asked for it, `started` but for
-        one that was refused before.
-    :param new_version: whether it goes to the version that is released.
-    :param parent: the run of the own target that made this call, if it is
-        one.
-    :param patient_until: the caller's own deadline; the route's timeout
-        where it told none.
+    :param tried: hosts whose guards were asked, in order.
+    :param order: the current dispatch; None between two dispatches.
+    :param slot: time slot of its deadline in the deadline timer.
+    :param over: whether it was answered or its caller disconnected.
+    :param last_asked: whether a guard was told that no other target will be
+        asked.
+    :param retry_after_s: Retry-After for a refusal, from the last guard that
+        gave one.
+    :param first_at: time of the caller's first attempt; equals `started`
+        unless an earlier attempt was refused.
+    :param new_version: whether it is sent to the version being released.
+    :param parent: the run on this host's target that made this request as a
+        call, if any.
+    :param patient_until: the caller's own deadline, or the route's timeout if
+        the caller gave none.
     """
 
     __slots__ = (
@@ -67,7 +69,7 @@
 
     def __init__(
         self,
-        owner: Owner,
+        owner: ExchangeOwner,
         message: http1.Message,
         route: mesh.PathRoute,
         service: str,
@@ -92,7 +94,7 @@
         self.slot = 0
         self.over = False
         self.last_asked = False
-        self.retry_after_s = NO_TARGET_RETURN_S
+        self.retry_after_s = NO_TARGET_RETRY_AFTER_S
         self.first_at = self.started
         self.patient_until = self.deadline
         self.parent: forwarding.Order | None = None
@@ -100,7 +102,7 @@
 
     @property
     def host(self) -> str:
-        """Whose guard was asked last; empty before the first."""
+        """Host whose guard was asked last; empty before the first dispatch."""
         return self.candidate.host if self.candidate is not None else ''
 
     def abandoned(self) -> None:
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""The ingress: from a caller's request to its one answer."""
+"""The ingress: routes and dispatches each request and answers it once."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -20,41 +20,43 @@
 from peridotpost.proxy import listener
 from peridotpost.proxy import names
 from peridotpost.proxy import problems
-from peridotpost.proxy import recognition
+from peridotpost.proxy import requesthistory
 from peridotpost.proxy import requestlog
 
-NO_CONFIG_RETURN_S = 0.5
-SMALL_BODY = 512
-"""Bytes that go with each dispatch: no more than its head takes."""
-BUSY = 0.7
-"""Load from which a target may refuse, so that a large body waits until it
-is asked for."""
-NO_BUDGET_S = 0.5
-"""How long no run is given up for a repeat after a guard had no budget."""
-POISON_RETURN_S = 30.0
+NO_CONFIG_RETRY_AFTER_S = 0.5
+INLINE_BODY_BYTES = 512
+"""Bodies up to this size are sent with every dispatch, since they are no
+larger than its headers."""
+BUSY_LOAD = 0.7
+"""Load above which a target may refuse a dispatch.  A larger body is then sent
+only when the guard asks for it."""
+NO_BUDGET_HOLD_S = 0.5
+"""After a guard ran out of retry budget, no running request of that service is
+rerouted for this long."""
+POISON_RETRY_AFTER_S = 30.0
 
 
 class Backends(Protocol):
-    """The targets that an ingress can send to."""
+    """Access to the targets that an ingress can dispatch to."""
 
     def candidates(self, service: str) -> Iterable[targetstate.Candidate]:
-        """Return the targets of a service, this host's own included."""
+        """Return the targets of a service, including this host's own."""
 
     def send(self, host: str, order: forwarding.Order) -> bool:
-        """Dispatch an order by way of `host`'s guard; False if cut off."""
+        """Dispatch an order to `host`'s guard; False if it is unreachable."""
 
     def withdraw(self, host: str, order: forwarding.Order) -> None:
-        """Nobody waits for the order any more."""
+        """Cancel an order whose outcome is no longer needed."""
 
     def repeat_share(self) -> float:
-        """Return the share of repeats among what the own target runs."""
+        """Return the share of repeats among the runs of this host's target."""
 
     def running(self, attempt_id: bytes) -> forwarding.Order | None:
-        """Return what the own target runs under an attempt id."""
+        """Return the order that this host's target runs for an attempt id."""
 
 
 class Forwarder:
-    """Routes, dispatches, tries again, answers."""
+    """Routes requests, dispatches and retries them, and answers callers."""
 
     def __init__(
         self,
@@ -62,7 +64,7 @@
         caller_service: str,
         backends: Backends,
         selector: selection.Selector,
-        sweep: deadlines.Deadlines,
+        deadline_timer: deadlines.Deadlines,
         releases: releasesplit.ReleaseSplit,
         counts: counters.Counters,
         log: lines.LineLog,
@@ -71,11 +73,11 @@
         self.names = header_names
         self.backends = backends
         self.selector = selector
-        self.sweep = sweep
+        self.deadline_timer = deadline_timer
         self.counts = counts
         self.log = requestlog.RequestLog(log, lambda: self.config)
         self.splitter = split.Splitter()
-        self.recognition = recognition.Recognition()
+        self.recognition = requesthistory.RequestHistory()
         self.config: mesh.MeshConfig | None = None
         self.caller_head = (
             header_names.caller + b': ' + caller_service.encode() + b'\r\n'
@@ -90,68 +92,74 @@
     def handle(
         self, message: http1.Message, respond: listener.Respond
     ) -> exchanges.Exchange | None:
-        """Take a request; `respond` is called exactly once for it."""
+        """Process a request and call `respond` once.
+
+        `respond` is not called after the caller has disconnected.
+        """
         config = self.config
         if config is None:
-            # A 404 would be a claim about routes that nobody knows yet.
-            self._refuse_early(
-                message, respond, 503, 'no-config', NO_CONFIG_RETURN_S
+            # Without a configuration the routes are unknown, so 404 would be
+            # wrong.
+            self._refuse_unrouted(
+                message, respond, 503, 'no-config', NO_CONFIG_RETRY_AFTER_S
             )
             return None
         if message.hosts != 1 or message.method == b'HEAD':
             status = 400 if message.hosts != 1 else 501
-            self._refuse_early(message, respond, status, 'bad-request')
+            self._refuse_unrouted(message, respond, status, 'bad-request')
             return None
         host = message.host.split(b':', 1)[0].decode('latin-1').lower()
         path = message.target.split(b'?', 1)[0].decode('latin-1')
         route = config.find(host, path)
         if route is None:
-            self._refuse_early(message, respond, 404, 'no-route')
+            self._refuse_unrouted(message, respond, 404, 'no-route')
             return None
-        first = self.recognition.first_attempt(message, route)
-        service = self._part(route, first)
+        first_attempt = self.recognition.first_attempt(message, route)
+        service = self._service_for(route, first_attempt)
         exchange = exchanges.Exchange(self, message, route, service, respond)
-        self._set_times(exchange)
-        if first is not None:
+        self._apply_caller_deadline(exchange)
+        if first_attempt is not None:
             self.counts.add('requests.returned')
-            exchange.first_at = first.at
-            exchange.patient_until = first.until
-            exchange.objective -= exchange.started - first.at
-        exchange.parent = self._parent(message)
+            exchange.first_at = first_attempt.at
+            exchange.patient_until = first_attempt.until
+            exchange.objective -= exchange.started - first_attempt.at
+        exchange.parent = self._parent_run(message)
         exchange.new_version = self.releases.takes_canary(
             service, exchange.started
         )
         exchange.head = bytes(message.head) + self.caller_head
         self.in_flight += 1
-        if self.recognition.crashes_targets(message):
-            exchange.retry_after_s = POISON_RETURN_S
+        if self.recognition.is_poison(message):
+            exchange.retry_after_s = POISON_RETRY_AFTER_S
             self._refuse(exchange, forwarding.Refusal.POISON)
             return None
-        exchange.slot = self.sweep.add(
-            exchange.deadline, exchange, lambda: self._expired(exchange)
+        exchange.slot = self.deadline_timer.add(
+            exchange.deadline,
+            exchange,
+            lambda: self._deadline_passed(exchange),
         )
         self._dispatch(exchange)
         return None if exchange.over else exchange
 
     def abandoned(self, exchange: exchanges.Exchange) -> None:
-        """The caller has gone; nothing more is done for it."""
+        """Stop work on a request whose caller disconnected."""
         if exchange.over:
             return
-        self._end(exchange)
+        self._mark_finished(exchange)
         self.counts.add('requests.abandoned')
         self._withdraw(exchange)
 
-    def _part(
+    def _service_for(
         self, route: mesh.PathRoute, first: returning.FirstAttempt | None
     ) -> str:
-        """Return the service that a request goes to."""
+        """Return the service of a request, keeping that of a first attempt."""
         if first is not None:
-            if any(one.service == first.service for one in route.shares):
+            if any(share.service == first.service for share in route.shares):
                 return first.service
         return self.splitter.pick(route.name, route.shares)
 
-    def _parent(self, message: http1.Message) -> forwarding.Order | None:
-        """Return the run of the own target that makes this call."""
+    def _parent_run(self, message: http1.Message) -> forwarding.Order | None:
+        """Return the run on this host's target that made this call."""
         parent_id = self.names.parent_of(message.attempt_id)
         if not parent_id:
             return None
@@ -159,40 +167,41 @@
         self.parents_known = self.parents_known or parent is not None
         return parent
 
-    def _inherited(self, exchange: exchanges.Exchange) -> float:
-        """Return what a first dispatch counts for as a repeat, 0 to 1."""
+    def _inherited_repeat_weight(self, exchange: exchanges.Exchange) -> float:
+        """Return how far a first dispatch counts as a repeat, 0 to 1."""
         if exchange.parent is not None:
             return exchange.parent.repeat_weight
-        # Where calls name their parents, all else comes from callers.
+        # If calls identify their parent runs, a request without a parent comes
+        # from an external caller.
         return 0.0 if self.parents_known else self.backends.repeat_share()
 
-    def _set_times(self, exchange: exchanges.Exchange) -> None:
-        told = exchange.message.deadline_ms
-        if told.isdigit():
-            # The operators' timeout bounds what callers ask for.
-            left_s = int(told) / 1000
-            until = exchange.started + left_s
-            exchange.patient_until = until
-            exchange.deadline = min(exchange.deadline, until)
+    def _apply_caller_deadline(self, exchange: exchanges.Exchange) -> None:
+        stated_ms = exchange.message.deadline_ms
+        if stated_ms.isdigit():
+            # The route's timeout caps the deadline that the caller asks for.
+            remaining_s = int(stated_ms) / 1000
+            caller_deadline = exchange.started + remaining_s
+            exchange.patient_until = caller_deadline
+            exchange.deadline = min(exchange.deadline, caller_deadline)
             exchange.attempts.deadline = exchange.deadline
         exchange.objective = min(exchange.objective, exchange.deadline)
 
     def _dispatch(self, exchange: exchanges.Exchange) -> None:
-        """Send to the best target that was not tried; refuse without."""
+        """Send to the best untried target, or finish if there is none."""
         now = deadlines.now()
         if now >= exchange.deadline:
-            self._give_up(exchange, forwarding.Refusal.TOO_LATE)
+            self._finish_unserved(exchange, forwarding.Refusal.TOO_LATE)
             return
         while True:
-            candidate = self._choose(exchange, now)
+            candidate = self._choose_target(exchange, now)
             if candidate is None:
                 reason = forwarding.Refusal.NO_TARGET
                 if exchange.attempts.refusals:
                     reason = forwarding.Refusal.FULL
-                self._give_up(exchange, reason)
+                self._finish_unserved(exchange, reason)
                 return
             exchange.tried.append(candidate.host)
-            order = self._order(exchange, candidate)
+            order = self._make_order(exchange, candidate)
             exchange.order = order
             exchange.candidate = candidate
             candidate.outstanding += 1
@@ -200,57 +209,63 @@
                 return
             candidate.outstanding -= 1
 
-    def _choose(
+    def _choose_target(
         self, exchange: exchanges.Exchange, now: float
     ) -> targetstate.Candidate | None:
         route = exchange.route.name
-        candidates = self._candidates(exchange)
-        left_s = exchange.objective - now
-        if left_s <= 0:
-            left_s = exchange.deadline - now
-        found = None
+        candidates = self._eligible_candidates(exchange)
+        remaining_s = exchange.objective - now
+        if remaining_s <= 0:
+            remaining_s = exchange.deadline - now
+        candidate = None
         if not exchange.attempts.is_last:
-            found = self.selector.choose(
+            candidate = self.selector.choose(
                 candidates,
                 route,
                 exchange.tried,
-                left_s,
+                remaining_s,
                 now,
                 exchange.route.idempotent,
             )
         repeat_refused = exchange.attempts.budget_refusals > 0
-        if found is None and not exchange.last_asked and not repeat_refused:
+        if (
+            candidate is None
+            and not exchange.last_asked
+            and not repeat_refused
+        ):
             exchange.last_asked = True
-            found = self.selector.last_resort(candidates, route, now)
-        return found
+            candidate = self.selector.last_resort(candidates, route, now)
+        return candidate
 
-    def _candidates(
+    def _eligible_candidates(
         self, exchange: exchanges.Exchange
     ) -> list[targetstate.Candidate]:
-        """Return the targets of the version that the request goes to."""
+        """Return the targets that run the version chosen for the request."""
         service = exchange.service
         now = deadlines.now()
-        known = list(self.backends.candidates(service))
+        candidates = list(self.backends.candidates(service))
         if exchange.new_version:
-            found = self.releases.allowed(service, known, True, now)
-            if any(self._may_try(exchange, one) for one in found):
-                return found
+            allowed = self.releases.allowed(service, candidates, True, now)
+            if any(
+                self._is_untried(exchange, candidate) for candidate in allowed
+            ):
+                return allowed
             exchange.new_version = False
-        return self.releases.allowed(service, known, False, now)
+        return self.releases.allowed(service, candidates, False, now)
 
     @staticmethod
-    def _may_try(
-        exchange: exchanges.Exchange, one: targetstate.Candidate
+    def _is_untried(
+        exchange: exchanges.Exchange, candidate: targetstate.Candidate
     ) -> bool:
-        return one.ready and one.host not in exchange.tried
+        return candidate.ready and candidate.host not in exchange.tried
 
-    def _order(
+    def _make_order(
         self, exchange: exchanges.Exchange, candidate: targetstate.Candidate
     ) -> forwarding.Order:
         message = exchange.message
         may_refuse = (
             len(exchange.tried) > 1
-            or candidate.load_now(deadlines.now()) > BUSY
+            or candidate.load_now(deadlines.now()) > BUSY_LOAD
         )
         order = forwarding.Order(
             number=0,
@@ -265,29 +280,32 @@
             deadline=exchange.deadline,
             objective=exchange.objective,
             last=exchange.last_asked,
-            done=lambda outcome: self._ended(
+            done=lambda outcome: self._dispatch_ended(
                 exchange, candidate, order, outcome
             ),
             route=exchange.route.name,
             repeat=exchange.attempts.repeat,
-            inherited=self._inherited(exchange),
-            body_later=may_refuse and len(message.body) > SMALL_BODY,
-            may_move=lambda: self._may_move(exchange),
+            inherited=self._inherited_repeat_weight(exchange),
+            body_later=may_refuse and len(message.body) > INLINE_BODY_BYTES,
+            may_move=lambda: self._may_reroute(exchange),
         )
         return order
 
-    def _may_move(self, exchange: exchanges.Exchange) -> bool:
-        """Whether a request may leave its target for another one."""
+    def _may_reroute(self, exchange: exchanges.Exchange) -> bool:
+        """Whether a dispatched request may be rerouted to another target."""
         now = deadlines.now()
         if not exchange.attempts.may_follow(now):
             return False
-        others = any(
-            self._may_try(exchange, one) for one in self._candidates(exchange)
+        has_alternative = any(
+            self._is_untried(exchange, candidate)
+            for candidate in self._eligible_candidates(exchange)
         )
-        no_budget_at = self.no_budget_at.get(exchange.service, -NO_BUDGET_S)
-        return others and now - no_budget_at >= NO_BUDGET_S
+        no_budget_at = self.no_budget_at.get(
+            exchange.service, -NO_BUDGET_HOLD_S
+        )
+        return has_alternative and now - no_budget_at >= NO_BUDGET_HOLD_S
 
-    def _ended(
+    def _dispatch_ended(
         self,
         exchange: exchanges.Exchange,
         candidate: targetstate.Candidate,
@@ -299,31 +317,31 @@
             return
         exchange.order = None
         now = deadlines.now()
-        self._note(exchange, candidate, outcome, now)
+        self._record_outcome(exchange, candidate, outcome, now)
         step = exchange.attempts.after(outcome, now)
         if step is attempts.Step.AGAIN:
             self._dispatch(exchange)
         elif isinstance(outcome, forwarding.TargetAnswer):
-            self._answer(exchange, outcome)
+            self._finish_with_answer(exchange, outcome)
         elif isinstance(outcome, forwarding.Refused):
-            self._give_up(exchange, outcome.reason)
+            self._finish_unserved(exchange, outcome.reason)
         else:
-            self._give_up(exchange, forwarding.Refusal.UNREACHABLE)
+            self._finish_unserved(exchange, forwarding.Refusal.UNREACHABLE)
 
-    def _note(
+    def _record_outcome(
         self,
         exchange: exchanges.Exchange,
         candidate: targetstate.Candidate,
         outcome: forwarding.Outcome,
         now: float,
     ) -> None:
-        """Learn from an outcome what it says of the target."""
+        """Update the target's health statistics from an outcome."""
         if not isinstance(outcome, forwarding.Refused):
             self.releases.ran(exchange.service, candidate.version)
         if isinstance(outcome, forwarding.Refused):
             if outcome.arrived:
-                # The guard keeps within the slots, so a target that turns
-                # requests away is failing.
+                # The guard never exceeds the target's slots, so a target that
+                # itself refuses a request is failing.
                 candidate.note(True, now)
             if outcome.reason is forwarding.Refusal.NO_RETRY_BUDGET:
                 self.no_budget_at[exchange.service] = now
@@ -336,21 +354,21 @@
             failed = outcome.status >= attempts.FAILED_STATUS
             candidate.note(failed, now)
 
-    def _answer(
+    def _finish_with_answer(
         self, exchange: exchanges.Exchange, outcome: forwarding.TargetAnswer
     ) -> None:
-        self._end(exchange)
-        self._deliver(exchange, outcome)
+        self._mark_finished(exchange)
+        self._send_answer(exchange, outcome)
 
-    def _deliver(
+    def _send_answer(
         self, exchange: exchanges.Exchange, outcome: forwarding.TargetAnswer
     ) -> None:
         if outcome.status >= attempts.FAILED_STATUS:
-            self._note_failed_call(exchange)
+            self._mark_failed_call(exchange)
         if outcome.status < attempts.FAILED_STATUS:
-            self.recognition.was_answered(exchange.message)
+            self.recognition.clear_answered(exchange.message)
         self.log.answered(exchange, outcome.status)
-        self._observe(exchange, outcome.status)
+        self._report_status(exchange, outcome.status)
         exchange.respond(
             listener.Reply(
                 outcome.status, outcome.head, outcome.body, outcome.reason
@@ -358,21 +376,21 @@
         )
 
     @staticmethod
-    def _note_failed_call(exchange: exchanges.Exchange) -> None:
-        """Tell the run that made a call that the call failed."""
+    def _mark_failed_call(exchange: exchanges.Exchange) -> None:
+        """Mark the run that made this call as having a failed call."""
         if exchange.parent is not None:
             exchange.parent.call_failed = True
 
-    def _give_up(
+    def _finish_unserved(
         self, exchange: exchanges.Exchange, reason: forwarding.Refusal
     ) -> None:
-        """Answer for a request that no other target will answer."""
+        """Answer a request for which no other target will be asked."""
         if exchange.attempts.failed is not None:
-            self._answer(exchange, exchange.attempts.failed)
+            self._finish_with_answer(exchange, exchange.attempts.failed)
         elif exchange.attempts.lost:
-            self._end(exchange)
+            self._mark_finished(exchange)
             self.log.ended(exchange, 'unknown', '', exchange.attempts.lost)
-            self._own_answer(
+            self._send_problem(
                 exchange, problems.Problem(502, 'outcome-unknown')
             )
         else:
@@ -381,42 +399,42 @@
     def _refuse(
         self, exchange: exchanges.Exchange, reason: forwarding.Refusal
     ) -> None:
-        self._end(exchange)
-        self._note_failed_call(exchange)
-        self.recognition.was_refused(exchange)
+        self._mark_finished(exchange)
+        self._mark_failed_call(exchange)
+        self.recognition.remember_refusal(exchange)
         self.log.ended(exchange, 'refused', '', reason.value)
-        self._own_answer(
+        self._send_problem(
             exchange,
             problems.Problem(503, reason.value, exchange.retry_after_s),
         )
 
-    def _expired(self, exchange: exchanges.Exchange) -> None:
+    def _deadline_passed(self, exchange: exchanges.Exchange) -> None:
         if exchange.over:
             return
         dispatched = exchange.order is not None
-        self._end(exchange)
+        self._mark_finished(exchange)
         self._withdraw(exchange)
         if exchange.attempts.failed is not None:
-            self._deliver(exchange, exchange.attempts.failed)
+            self._send_answer(exchange, exchange.attempts.failed)
             return
-        self._note_failed_call(exchange)
+        self._mark_failed_call(exchange)
         detail = exchange.attempts.lost or 'no answer in time'
         self.log.ended(exchange, 'timeout', exchange.host, detail)
         if dispatched or exchange.attempts.lost:
-            self._own_answer(exchange, problems.Problem(504, 'timeout'))
+            self._send_problem(exchange, problems.Problem(504, 'timeout'))
         else:
-            self._own_answer(
+            self._send_problem(
                 exchange,
                 problems.Problem(503, 'too-late', exchange.retry_after_s),
             )
 
-    def _own_answer(
+    def _send_problem(
         self, exchange: exchanges.Exchange, problem: problems.Problem
     ) -> None:
-        self._observe(exchange, problem.status)
+        self._report_status(exchange, problem.status)
         exchange.respond(problems.render(problem))
 
-    def _refuse_early(
+    def _refuse_unrouted(
         self,
         message: http1.Message,
         respond: listener.Respond,
@@ -435,12 +453,14 @@
         if order is not None and exchange.candidate is not None:
             self.backends.withdraw(exchange.candidate.host, order)
 
-    def _end(self, exchange: exchanges.Exchange) -> None:
+    def _mark_finished(self, exchange: exchanges.Exchange) -> None:
         exchange.over = True
         self.in_flight -= 1
-        self.sweep.discard(exchange.slot, exchange)
+        self.deadline_timer.discard(exchange.slot, exchange)
 
-    def _observe(self, exchange: exchanges.Exchange, status: int) -> None:
+    def _report_status(
+        self, exchange: exchanges.Exchange, status: int
+    ) -> None:
         if self.observe is not None:
             elapsed = deadlines.now() - exchange.started
             self.observe(exchange, status, elapsed)
--- a/src/peridotpost/proxy/frames.py
+++ b/src/peridotpost/proxy/frames.py
@@ -1,7 +1,7 @@
-"""Messages between daemons: msgpack arrays behind a length.
+"""Frames between daemons: length-prefixed msgpack arrays.
 
-Fields go by position, not by name: a byte between availability zones is
-the dearest thing that a call needs.
+Fields are encoded by position instead of by name, because traffic between
+availability zones is the most expensive resource that a request uses.
 """
 
 import struct
@@ -9,19 +9,20 @@
 
 import msgspec
 
-LENGTH = struct.Struct('>I')
+LENGTH_PREFIX = struct.Struct('>I')
 COMPRESSION_LEVEL = 5
 WINDOW_BITS = 12
 MEMORY_LEVEL = 5
-MAX_FRAME = 80 * 1024 * 1024
-"""A body at its limit and its head; more is a broken stream."""
+MAX_FRAME_BYTES = 80 * 1024 * 1024
+"""Fits the largest allowed body and its headers; a longer frame is treated as
+a corrupt stream."""
 
 
 class Dispatch(msgspec.Struct, array_like=True, tag=1):
     """A request for the receiver's target; see ``forwarding.Order``.
 
     :param inherited: in hundredths.
-    :param body_later: whether there is a body that is sent on demand.
+    :param body_later: whether the body is left out and sent on request.
     """
 
     number: int
@@ -43,7 +44,7 @@
 
 
 class BodyWanted(msgspec.Struct, array_like=True, tag=18):
-    """The guard takes a dispatch that came without its body."""
+    """Asks for the body of a dispatch that the guard accepted without it."""
 
     number: int
 
@@ -56,17 +57,17 @@
 
 
 class Cancel(msgspec.Struct, array_like=True, tag=2):
-    """The sender gave up on its dispatch."""
+    """The sender no longer needs the outcome of its dispatch."""
 
     number: int
 
 
 class Answered(msgspec.Struct, array_like=True, tag=3):
-    """A target's whole answer.
+    """A target's complete response.
 
-    :param load: what runs and waits, in hundredths of the slots.
-    :param run_ms: mean time of a run there.
-    :param failing: share of failures there, in hundredths.
+    :param load: running and queued requests, in hundredths of the slots.
+    :param run_ms: mean run time of the route on that target.
+    :param failing: share of failed requests there, in hundredths.
     """
 
     number: int
@@ -80,7 +81,7 @@
 
 
 class RefusedFrame(msgspec.Struct, array_like=True, tag=4):
-    """The dispatch has not run and will not."""
+    """The dispatch was refused: it has not run and will not run."""
 
     number: int
     reason: str
@@ -92,7 +93,7 @@
 
 
 class LostFrame(msgspec.Struct, array_like=True, tag=5):
-    """The dispatch may have run; there is no answer."""
+    """No response is available; the dispatch may have run."""
 
     number: int
     detail: str
@@ -100,7 +101,7 @@
 
 
 class Status(msgspec.Struct, array_like=True, tag=6):
-    """The sender's target, whenever that changes."""
+    """State of the sender's target, sent on each change."""
 
     service: str
     instance: str
@@ -112,11 +113,11 @@
 
 
 class Hello(msgspec.Struct, array_like=True, tag=7):
-    """First frame of each side.
+    """First frame sent by each side.
 
-    :param slow: whether the sender's link is slow, so that it wants to be
-        told of versions and not to read them from the store.
-    :param compressed: whether all that follows this frame is one deflate
+    :param slow: whether the sender's link is slow, so that it relies on peers
+        for configuration versions instead of reading the store.
+    :param compressed: whether everything after this frame is one deflate
         stream, flushed after each write.
     """
 
@@ -131,11 +132,11 @@
 
 
 class Version(msgspec.Struct, array_like=True, tag=8):
-    """The configuration version that the sender holds.
+    """The configuration version that the sender has.
 
-    :param following: whether it reads the store, and reached it lately;
-        None where it does not say.  One with a slow link does not, but for
-        True when it begins a read.
+    :param following: whether the sender reads the store and reached it
+        recently; None if not stated.  A sender with a slow link states it
+        only as True, when it begins a read.
     """
 
     version: int
@@ -143,22 +144,22 @@
 
 
 class Fetch(msgspec.Struct, array_like=True, tag=9):
-    """Asks for the configuration, if it is newer than `version`."""
+    """Asks for the configuration if it is newer than `version`."""
 
     version: int
 
 
 class Config(msgspec.Struct, array_like=True, tag=10):
-    """A whole configuration, as the operators wrote it, deflated."""
+    """The full configuration text as written by the operators, deflated."""
 
     version: int
     deflated: bytes
 
 
 class ConfigDelta(msgspec.Struct, array_like=True, tag=15):
-    """A configuration as the difference to the one of `base`.
+    """A configuration as a delta to version `base`.
 
-    :param packed: by ``deltas.pack``.
+    :param packed: delta encoded by ``deltas.pack``.
     """
 
     base: int
@@ -174,13 +175,13 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag=12):
-    """Asks for a sign of life; tells the sender's version."""
+    """Asks for a `Pong`; carries the sender's configuration version."""
 
     version: int
 
 
 class Pong(msgspec.Struct, array_like=True, tag=13):
-    """A sign of life."""
+    """Response to a `Ping`, with load and configuration version."""
 
     load: int
     version: int
@@ -188,13 +189,13 @@
 
 
 class Known(msgspec.Struct, array_like=True, tag=14):
-    """Daemons that the sender knows, for one that just started."""
+    """Daemons known to the sender; an empty list asks for the peer's."""
 
     hosts: list[Hello]
 
 
 class ReleaseUpdate(msgspec.Struct, array_like=True, tag=16):
-    """A coordinator's update; see ``release.ReleaseState``.
+    """A release coordinator's state; see ``release.ReleaseState``.
 
     :param share: in ten-thousandths.
     """
@@ -223,7 +224,7 @@
 
 
 class ReleaseReport(msgspec.Struct, array_like=True, tag=17):
-    """What a guard tells a coordinator; see ``release.TargetReport``."""
+    """Report of a host to the coordinator; see ``release.TargetReport``."""
 
     service: str
     revision: int
@@ -259,19 +260,19 @@
 
 
 class BadFrame(ValueError):
-    """A peer sent what is no frame; the stream can't be read on."""
+    """A peer sent invalid data; the stream can't be read any further."""
 
 
 def encode(frame: Frame) -> bytes:
     raw = ENCODER.encode(frame)
-    return LENGTH.pack(len(raw)) + raw
+    return LENGTH_PREFIX.pack(len(raw)) + raw
 
 
 def deflater() -> 'zlib._Compress':
-    """Return a compressor for the rest of a stream.
+    """Return the compressor for a stream.
 
-    Header lines repeat from request to request; a window of 4 KB holds
-    several, and compressor and window together take 32 KB.
+    Header lines repeat between requests.  A window of 4 KB covers several
+    requests, and the compressor with its window takes 32 KB of memory.
     """
     return zlib.compressobj(
         COMPRESSION_LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL
@@ -279,33 +280,33 @@
 
 
 class FrameReader:
-    """Cuts a byte stream into frames."""
+    """Incremental decoder of a byte stream into frames."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.inflater: zlib._Decompress | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Return the frames that are whole now.
+        """Add received bytes and return the frames that are now complete.
 
-        :raises BadFrame: the stream makes no sense from here on.
+        :raises BadFrame: the stream is corrupt and can't be read further.
         """
         buffer = self.buffer
-        buffer += self._inflated(data)
-        found: list[Frame] = []
+        buffer += self._inflate(data)
+        complete: list[Frame] = []
         while True:
-            frame, used = self._next(buffer)
+            frame, used = self._decode_first(buffer)
             if frame is None:
-                return found
+                return complete
             del buffer[:used]
-            found.append(frame)
+            complete.append(frame)
             if type(frame) is Hello and frame.compressed:
                 self.inflater = zlib.decompressobj(-WINDOW_BITS)
                 rest = bytes(buffer)
                 buffer.clear()
-                buffer += self._inflated(rest)
+                buffer += self._inflate(rest)
 
-    def _inflated(self, data: bytes) -> bytes:
+    def _inflate(self, data: bytes) -> bytes:
         if self.inflater is None:
             return data
         try:
@@ -313,17 +314,17 @@
         except zlib.error as error:
             raise BadFrame(str(error)) from error
 
-    def _next(self, buffer: bytearray) -> tuple[Frame | None, int]:
-        """Return the first frame, if it is whole, and its length."""
-        if len(buffer) < LENGTH.size:
+    def _decode_first(self, buffer: bytearray) -> tuple[Frame | None, int]:
+        """Return the first frame and its length; None if incomplete."""
+        if len(buffer) < LENGTH_PREFIX.size:
             return None, 0
-        (size,) = LENGTH.unpack_from(buffer)
-        if size > MAX_FRAME:
+        (size,) = LENGTH_PREFIX.unpack_from(buffer)
+        if size > MAX_FRAME_BYTES:
             raise BadFrame(f'frame of {size} bytes')
-        end = LENGTH.size + size
+        end = LENGTH_PREFIX.size + size
         if len(buffer) < end:
             return None, 0
         try:
-            return DECODER.decode(bytes(buffer[LENGTH.size : end])), end
+            return DECODER.decode(bytes(buffer[LENGTH_PREFIX.size : end])), end
         except msgspec.MsgspecError as error:
             raise BadFrame(str(error)) from error
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -1,8 +1,9 @@
-"""The guard: the only sender to the target of its host.
+"""The guard: admission control in front of a host's target.
 
-Being the only one, it knows the slots in use exactly, its refusal proves
-that nothing ran, and the drain that it acknowledges is the drain that it
-keeps, whatever the rest of the fleet has heard.
+All requests to the target go through its guard.  The guard therefore knows
+exactly how many slots are in use, a refusal by it proves that the request has
+not run, and a drain that it acknowledged holds even while other hosts have
+not heard of it.
 """
 
 import asyncio
@@ -28,17 +29,18 @@
 from peridotpost.proxy import upstream
 
 FAILING_SHARE = 0.25
-FAILING_TOLD_S = 1.0
-"""A target that fails this share of its requests is reported to all peers,
-at most so often; other figures go with the answers."""
+"""Share of failed requests from which peers are told that a target fails.
+Lower shares are only sent along with responses."""
+FAILING_REPORT_INTERVAL_S = 1.0
+"""Minimum interval between two such reports."""
 DEADLINE_SLACK_S = 0.1
-"""How long after the deadline the guard cuts a run: its ingress does so at
-the deadline, the guard only where the ingress is gone."""
+"""Delay after the deadline before the guard aborts a run.  The ingress cancels
+it at the deadline; the guard acts only if the ingress is gone."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnd:
-    """The end of a run, `at` seconds since boot."""
+    """The end of a run; `at` is in seconds since boot."""
 
     order: forwarding.Order
     outcome: forwarding.Outcome
@@ -46,22 +48,22 @@
 
 
 class Guard:
-    """Slots, queue and connections of one target.
+    """Manages the slots, queue and connections of one target.
 
-    :param siblings: tells how many targets the own service has.
+    :param target_count: returns the number of targets of this service.
     """
 
     def __init__(
         self,
         header_names: names.HeaderNames,
         randomness: random.Random,
-        sweep: deadlines.Deadlines,
+        deadline_timer: deadlines.Deadlines,
         retry_budget: budget.RetryBudget,
         counts: counters.Counters,
         log: lines.LineLog,
     ) -> None:
         self.names = header_names
-        self.sweep = sweep
+        self.deadline_timer = deadline_timer
         self.budget = retry_budget
         self.siblings: Callable[[], int] = lambda: 1
         self.counts = counts
@@ -71,12 +73,12 @@
         self.idle = upstream.IdlePool()
         self.running: dict[forwarding.Order, upstream.TargetConnection] = {}
         self.running_by_attempt: dict[bytes, forwarding.Order] = {}
-        self.opening: dict[forwarding.Order, asyncio.Task[None]] = {}
+        self.connecting: dict[forwarding.Order, asyncio.Task[None]] = {}
         self.awaiting_body: set[forwarding.Order] = set()
         self.expiries: dict[forwarding.Order, int] = {}
         self.reach = reachability.Reachability(self, log)
         self.failures = failures.FailureShare()
-        self.failing_told_at = 0.0
+        self.failing_reported_at = 0.0
         self.leaving = False
         self.withheld = False
         self.run_ended: hooks.Hook[RunEnd] = hooks.Hook('run-ended')
@@ -86,85 +88,92 @@
     @property
     def in_flight(self) -> int:
         started = (
-            len(self.running) + len(self.opening) + len(self.awaiting_body)
+            len(self.running) + len(self.connecting) + len(self.awaiting_body)
         )
         return started + len(self.queue.waiting)
 
     def status(self) -> instances.TargetStatus:
-        known = self.instances.current
-        if known is None:
+        current = self.instances.current
+        if current is None:
             return instances.TargetStatus('', '', 0, False)
         return instances.TargetStatus(
-            known.service,
-            known.instance,
-            known.slots,
+            current.service,
+            current.instance,
+            current.slots,
             self.expects_target() and not self.reach.down,
-            known.version,
+            current.version,
         )
 
-    def announced(self, told: instances.Announcement) -> None:
-        """Take what the target says; returns when it is in force."""
+    def announced(self, announcement: instances.Announcement) -> None:
+        """Apply an announcement of the target; it is in force on return."""
         before = self.instances.current
-        if not self.instances.offer(told):
+        if not self.instances.offer(announcement):
             return
-        fresh = before is None or (before.instance, before.born_ms) != (
-            told.instance,
-            told.born_ms,
+        is_new_instance = before is None or (
+            before.instance,
+            before.born_ms,
+        ) != (
+            announcement.instance,
+            announcement.born_ms,
         )
-        if fresh:
+        if is_new_instance:
             self.idle.close()
             self.failures = failures.FailureShare()
-            self.reach.replaced()
+            self.reach.instance_replaced()
             self.instance_header = (
-                self.names.instance + b': ' + told.instance.encode() + b'\r\n'
+                self.names.instance
+                + b': '
+                + announcement.instance.encode()
+                + b'\r\n'
             )
-        self.queue.slots = told.slots
+        self.queue.slots = announcement.slots
         self.log.state(
             'target',
-            instance=told.instance,
-            service=told.service,
-            to=told.state.value,
-            born=told.born_ms,
-            sequence=told.sequence,
-            slots=told.slots,
+            instance=announcement.instance,
+            service=announcement.service,
+            to=announcement.state.value,
+            born=announcement.born_ms,
+            sequence=announcement.sequence,
+            slots=announcement.slots,
         )
         self._status_changed()
 
     def left(self, instance: str, born_ms: int) -> None:
-        """Take a target's word that it goes."""
+        """Handle a target's notice that it is leaving."""
         if self.instances.leave(instance, born_ms):
             self.log.state('target', instance=instance, to='gone')
             self._status_changed()
 
     def withhold(self, withheld: bool) -> None:
-        """Give the target no new work, or work again; what runs ends."""
+        """Suspend or resume new work for the target; runs continue."""
         if withheld != self.withheld:
             self.withheld = withheld
             self._status_changed()
 
     @property
     def is_idle(self) -> bool:
-        """Whether the target runs nothing for this guard."""
-        return not (self.running or self.opening or self.awaiting_body)
+        """Whether no order has a slot of the target."""
+        return not (self.running or self.connecting or self.awaiting_body)
 
     def stop_taking(self) -> None:
-        """Take no work any more; what runs ends."""
+        """Refuse new work from now on; runs continue to their end."""
         self.leaving = True
         self._status_changed()
 
     def submit(self, order: forwarding.Order) -> None:
-        """Run `order` as soon as its turn comes, or settle it refused."""
-        known = self.instances.current
-        if not self.expects_target() or known is None:
+        """Start or queue `order`, or settle it as refused."""
+        current = self.instances.current
+        if not self.expects_target() or current is None:
             order.settle(forwarding.Refused(forwarding.Refusal.LEAVING))
             return
-        if known.service != order.service:
+        if current.service != order.service:
             order.settle(forwarding.Refused(forwarding.Refusal.WRONG_SERVICE))
             return
         if self.reach.down:
             order.settle(
                 forwarding.Refused(
-                    forwarding.Refusal.UNREACHABLE, self.reach.pause_s
+                    forwarding.Refusal.UNREACHABLE,
+                    self.reach.reconnect_pause_s,
                 )
             )
             return
@@ -174,13 +183,13 @@
             return
         verdict = self.queue.arrive(order, now)
         if not verdict.started and not verdict.refused:
-            self._expire_at(self.queue.hopeless_at(order), order)
+            self._set_expiry(self.queue.hopeless_at(order), order)
         if order.fetch_body is not None and not verdict.refused:
             order.fetch_body()
-        self._apply(verdict)
+        self._apply_verdict(verdict)
 
-    def body_came(self, order: forwarding.Order, body: bytes) -> None:
-        """Take the body of an order that came without it."""
+    def receive_body(self, order: forwarding.Order, body: bytes) -> None:
+        """Store the body of an order that was sent without it."""
         order.body = body
         order.fetch_body = None
         if order not in self.awaiting_body:
@@ -193,18 +202,18 @@
             order.settle(forwarding.Refused(forwarding.Refusal.LEAVING))
 
     def cancel(self, order: forwarding.Order) -> None:
-        """Take back an order; settles it as not run if it still waits."""
+        """Cancel an order; one that was not sent is settled as refused."""
         if order.settled:
             return
         connection = self.running.get(order)
         if connection is None and not self._is_starting(order):
             self.queue.withdraw(order)
-            self._forget(order)
+            self._clear_expiry(order)
             order.settle(forwarding.Refused(forwarding.Refusal.WITHDRAWN))
             return
         if not order.idempotent and connection is not None:
-            # It may be half done.  Cut off now it would neither be whole
-            # nor could it be sent again.
+            # A non-idempotent run that is aborted halfway can neither be
+            # completed nor retried.
             return
         self._abort(order)
         if connection is None:
@@ -213,42 +222,46 @@
             order.settle(forwarding.Lost('cancelled by its ingress'))
 
     def close(self) -> None:
-        for task in self.opening.values():
+        for task in self.connecting.values():
             task.cancel()
         for connection in list(self.running.values()):
             connection.close()
         self.idle.close()
 
     def expects_target(self) -> bool:
-        """Whether the target is announced and may get work."""
-        known = self.instances.current
+        """Whether the target is announced as ready and may be given work."""
+        current = self.instances.current
         return (
             not self.leaving
             and not self.withheld
-            and known is not None
-            and known.state is instances.InstanceState.READY
+            and current is not None
+            and current.state is instances.InstanceState.READY
         )
 
     def _status_changed(self) -> None:
         if not self.expects_target():
-            # What waits would reach the target after its drain was
-            # acknowledged; other targets can still have it.
+            # Queued orders must not reach the target after its drain was
+            # acknowledged; they can still run on other targets.
             for order in self.queue.drain():
-                self._forget(order)
+                self._clear_expiry(order)
                 order.settle(forwarding.Refused(forwarding.Refusal.LEAVING))
             self.idle.close()
         self.changed.fire(self.status())
 
-    def _apply(self, verdict: slot_rules.Verdict) -> None:
+    def _apply_verdict(self, verdict: slot_rules.Verdict) -> None:
         for order in verdict.refused:
-            self._forget(order)
-            return_s = self.queue.return_s(order, deadlines.now())
-            self._log_declined(order, return_s)
-            order.settle(forwarding.Refused(forwarding.Refusal.FULL, return_s))
+            self._clear_expiry(order)
+            retry_after_s = self.queue.return_s(order, deadlines.now())
+            self._log_declined(order, retry_after_s)
+            order.settle(
+                forwarding.Refused(forwarding.Refusal.FULL, retry_after_s)
+            )
         for order in verdict.started:
             self._start(order)
 
-    def _log_declined(self, order: forwarding.Order, return_s: float) -> None:
+    def _log_declined(
+        self, order: forwarding.Order, retry_after_s: float
+    ) -> None:
         if not self.log.has_room(logbudget.Weight.STEP):
             return
         now = deadlines.now()
@@ -265,22 +278,22 @@
             'run_ms': round(queue.times.expected_s(order.route) * 1000),
             'objective_ms': round((order.objective - now) * 1000),
             'left_ms': round((order.deadline - now) * 1000),
-            'return_ms': round(return_s * 1000),
+            'return_ms': round(retry_after_s * 1000),
         }
         self.log.tell('declined', fields)
 
-    def _expire_at(self, at: float, order: forwarding.Order) -> None:
-        self._forget(order)
-        self.expiries[order] = self.sweep.add(
+    def _set_expiry(self, at: float, order: forwarding.Order) -> None:
+        self._clear_expiry(order)
+        self.expiries[order] = self.deadline_timer.add(
             at, order, lambda: self._expired(order)
         )
 
     def _is_starting(self, order: forwarding.Order) -> bool:
-        """Whether an order has a slot and was not sent yet."""
-        return order in self.opening or order in self.awaiting_body
+        """Whether an order has a slot but was not sent to the target yet."""
+        return order in self.connecting or order in self.awaiting_body
 
     def _start(self, order: forwarding.Order) -> None:
-        self._expire_at(order.deadline + DEADLINE_SLACK_S, order)
+        self._set_expiry(order.deadline + DEADLINE_SLACK_S, order)
         if order.fetch_body is not None:
             self.awaiting_body.add(order)
             return
@@ -289,25 +302,31 @@
         if connection is not None:
             self._send(order, connection)
             return
-        self.opening[order] = asyncio.ensure_future(self._open(order))
+        self.connecting[order] = asyncio.ensure_future(
+            self._connect_and_send(order)
+        )
 
-    async def _open(self, order: forwarding.Order) -> None:
-        known = self.instances.current
-        assert known is not None
+    async def _connect_and_send(self, order: forwarding.Order) -> None:
+        announced = self.instances.current
+        assert announced is not None
         try:
             connection = await self.connect()
         except OSError as error:
-            self._unreachable(order, error)
+            self._connect_failed(order, error)
             return
         self.counts.add('target.connections')
-        if self.opening.pop(order, None) is None or order.settled:
+        if self.connecting.pop(order, None) is None or order.settled:
             connection.close()
             return
-        if not self.expects_target() or self.instances.current is not known:
-            # The drain was acknowledged while the connection opened.
+        if (
+            not self.expects_target()
+            or self.instances.current is not announced
+        ):
+            # The target began to drain or was replaced while the connection
+            # was being opened.
             connection.close()
-            self._forget(order)
-            self._apply(self.queue.release(order, deadlines.now()))
+            self._clear_expiry(order)
+            self._apply_verdict(self.queue.release(order, deadlines.now()))
             order.settle(forwarding.Refused(forwarding.Refusal.LEAVING))
             return
         self._send(order, connection)
@@ -318,11 +337,11 @@
         now = deadlines.now()
         left_ms = int((order.deadline - now) * 1000)
         if left_ms <= 0 or not self._has_budget(order, now):
-            # The process stood still since the decision, or other repeats
-            # went first while this one waited.
+            # The process was stalled since the decision, or other repeats used
+            # the retry budget while this one was waiting.
             self.idle.add(connection)
-            self._forget(order)
-            self._apply(self.queue.release(order, now))
+            self._clear_expiry(order)
+            self._apply_verdict(self.queue.release(order, now))
             if left_ms > 0:
                 self._refuse_repeat(order)
             else:
@@ -343,11 +362,11 @@
             order.method, order.target, head, order.body
         )
         done = order.done
-        order.done = lambda outcome: self._ended(order, done, outcome)
+        order.done = lambda outcome: self._run_finished(order, done, outcome)
         connection.send(order, payload)
 
     def repeat_share(self) -> float:
-        """Return the share of repeats among the runs, 0 to 1."""
+        """Return the share of repeats among current runs, 0 to 1."""
         if not self.running:
             return 0.0
         weight = sum(order.repeat_weight for order in self.running)
@@ -362,18 +381,18 @@
         self.counts.add('requests.no-retry-budget')
         order.settle(forwarding.Refused(forwarding.Refusal.NO_RETRY_BUDGET))
 
-    def _ended(
+    def _run_finished(
         self,
         order: forwarding.Order,
         done: Callable[[forwarding.Outcome], None],
         outcome: forwarding.Outcome,
     ) -> None:
-        """The run of `order` is over; its slot goes to the next."""
+        """Handle the end of a run and give its slot to the next order."""
         now = deadlines.now()
         connection = self.running.pop(order, None)
         self.running_by_attempt.pop(order.attempt_id, None)
-        self._forget(order)
-        if connection is not None and connection.usable(now):
+        self._clear_expiry(order)
+        if connection is not None and connection.is_usable(now):
             self.idle.add(connection)
         if isinstance(outcome, forwarding.TargetAnswer):
             verdict = self.queue.finish(order, now)
@@ -381,16 +400,16 @@
             verdict = self.queue.release(order, now)
         if isinstance(outcome, forwarding.Lost):
             self.reach.answer_lost(order)
-        if connection is None or not connection.abandoned:
-            self._note_outcome(outcome, now)
+        if connection is None or not connection.aborted:
+            self._record_outcome(outcome, now)
             if self.run_ended.subscribers:
                 self.run_ended.fire(RunEnd(order, outcome, now))
         done(outcome)
-        self._apply(verdict)
+        self._apply_verdict(verdict)
 
-    def _note_outcome(self, outcome: forwarding.Outcome, now: float) -> None:
+    def _record_outcome(self, outcome: forwarding.Outcome, now: float) -> None:
         if isinstance(outcome, forwarding.Refused):
-            # Not run, so another target can still have it.
+            # The target did not run it, so its failure rate is unaffected.
             return
         failed = not isinstance(outcome, forwarding.TargetAnswer) or (
             outcome.status >= attempts.FAILED_STATUS
@@ -398,55 +417,59 @@
         self.failures.note(failed, now)
         if not failed or self.failures.value(now) < FAILING_SHARE:
             return
-        if now - self.failing_told_at >= FAILING_TOLD_S:
-            self.failing_told_at = now
+        if now - self.failing_reported_at >= FAILING_REPORT_INTERVAL_S:
+            self.failing_reported_at = now
             self.changed.fire(self.status())
 
-    def _connection_left(
+    def _connection_released(
         self, connection: upstream.TargetConnection, in_use: bool
     ) -> None:
         if connection.closed:
             self.idle.discard(connection)
 
-    def _unreachable(self, order: forwarding.Order, error: OSError) -> None:
-        if self.opening.pop(order, None) is None:
+    def _connect_failed(self, order: forwarding.Order, error: OSError) -> None:
+        if self.connecting.pop(order, None) is None:
             return
-        self._forget(order)
+        self._clear_expiry(order)
         self.reach.refused(error)
-        self._apply(self.queue.release(order, deadlines.now()))
+        self._apply_verdict(self.queue.release(order, deadlines.now()))
         order.settle(
             forwarding.Refused(
-                forwarding.Refusal.UNREACHABLE, reachability.DOWN_PAUSE_S
+                forwarding.Refusal.UNREACHABLE,
+                reachability.MIN_RECONNECT_PAUSE_S,
             )
         )
 
     async def connect(self) -> upstream.TargetConnection:
-        """Open a connection to the target that is announced.
+        """Open a connection to the announced target.
 
-        :raises OSError: it takes none.
+        :raises OSError: the connection could not be opened.
         """
-        known = self.instances.current
-        assert known is not None
+        current = self.instances.current
+        assert current is not None
         return await upstream.connect(
-            known.address, known.port, self.names, self._connection_left
+            current.address,
+            current.port,
+            self.names,
+            self._connection_released,
         )
 
-    def keep(self, connection: upstream.TargetConnection) -> None:
-        """Take a connection that was opened to see whether it can be."""
+    def adopt_connection(self, connection: upstream.TargetConnection) -> None:
+        """Add a connection opened as a reachability check to the idle pool."""
         connection.idle_since = deadlines.now()
         self.idle.add(connection)
 
     def target_down(self) -> None:
-        """Hand back what waits; other targets can still have it."""
+        """Refuse all queued orders, which can still run on other targets."""
         for order in self.queue.drain():
-            self._forget(order)
+            self._clear_expiry(order)
             order.settle(forwarding.Refused(forwarding.Refusal.UNREACHABLE))
         self.changed.fire(self.status())
 
     def target_up(self) -> None:
-        """Take work again."""
-        known = self.instances.current
-        instance = known.instance if known is not None else ''
+        """Announce that the target accepts connections again."""
+        current = self.instances.current
+        instance = current.instance if current is not None else ''
         self.log.state('target', to='reachable', instance=instance)
         self.changed.fire(self.status())
 
@@ -456,10 +479,10 @@
             return
         if order not in self.running and not self._is_starting(order):
             self.queue.withdraw(order)
-            return_s = self.queue.return_s(order, deadlines.now())
-            self._log_declined(order, return_s)
+            retry_after_s = self.queue.return_s(order, deadlines.now())
+            self._log_declined(order, retry_after_s)
             order.settle(
-                forwarding.Refused(forwarding.Refusal.TOO_LATE, return_s)
+                forwarding.Refused(forwarding.Refusal.TOO_LATE, retry_after_s)
             )
             return
         started = order in self.running
@@ -471,20 +494,20 @@
             order.settle(forwarding.Refused(forwarding.Refusal.TOO_LATE))
 
     def _abort(self, order: forwarding.Order) -> None:
-        """Stop a run or a connection attempt; frees its slot."""
-        task = self.opening.pop(order, None)
+        """Stop an order that has a slot, and free the slot."""
+        task = self.connecting.pop(order, None)
         if task is not None or order in self.awaiting_body:
             if task is not None:
                 task.cancel()
             self.awaiting_body.discard(order)
-            self._forget(order)
-            self._apply(self.queue.release(order, deadlines.now()))
+            self._clear_expiry(order)
+            self._apply_verdict(self.queue.release(order, deadlines.now()))
             return
         connection = self.running.get(order)
         if connection is not None:
-            connection.abandon()
+            connection.abort()
 
-    def _forget(self, order: forwarding.Order) -> None:
+    def _clear_expiry(self, order: forwarding.Order) -> None:
         slot = self.expiries.pop(order, None)
         if slot is not None:
-            self.sweep.discard(slot, order)
+            self.deadline_timer.discard(slot, order)
--- a/src/peridotpost/proxy/http1.py
+++ b/src/peridotpost/proxy/http1.py
@@ -1,7 +1,8 @@
-"""Reading and writing HTTP/1.1 messages on a C parser (``httptools``).
+"""Reading and writing of HTTP/1.1 messages with a C parser (``httptools``).
 
-Messages are read whole.  That makes a cut answer visible before a byte of
-it reaches the caller, and lets an idempotent request be sent again.
+Messages are buffered completely.  A truncated response is thus detected
+before any byte of it reaches the caller, and an idempotent request can be
+retried.
 """
 
 import dataclasses
@@ -25,15 +26,26 @@
         b'expect',
     }
 )
-"""Headers that concern one connection only (RFC 9110, 7.6.1), and those
-that frame the body, which each sender writes anew."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1), and headers for body framing,
+which each sender generates itself."""
 
-REASONS = {one.value: one.phrase.encode() for one in http.HTTPStatus}
+REASON_PHRASES = {
+    status.value: status.phrase.encode() for status in http.HTTPStatus
+}
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Message:
-    """A request or an answer as it came, less the connection's headers."""
+    """A received request or response.
+
+    :param head: header lines without those of the connection.
+    :param head_bytes: size of all headers received.
+    :param not_run: whether the target states that it did not run the request.
+    :param signed: whether the response bears the target's signature header.
+    :param framed: whether the headers delimit the body.
+    :param hosts: number of ``Host`` headers.
+    :param nominated_headers: header names listed in ``Connection``.
+    """
 
     head: bytearray = dataclasses.field(default_factory=bytearray)
     head_bytes: int = 0
@@ -46,37 +58,37 @@
     attempt_id: bytes = b''
     deadline_ms: bytes = b''
     not_run: bool = False
-    proof: bool = False
-    encoded: bool = False
+    signed: bool = False
+    content_encoded: bool = False
     keep_alive: bool = True
     keep_alive_s: float | None = None
     expects_continue: bool = False
     framed: bool = False
     hosts: int = 0
-    nominated: list[bytes] = dataclasses.field(default_factory=list)
-    pieces: list[bytes] = dataclasses.field(default_factory=list)
-    size: int = 0
+    nominated_headers: list[bytes] = dataclasses.field(default_factory=list)
+    body_chunks: list[bytes] = dataclasses.field(default_factory=list)
+    body_size: int = 0
 
 
 class TooLarge(Exception):
-    """A message is over its limit."""
+    """A message exceeds its size limit."""
 
 
 class MessageSink(Protocol):
-    """What is done with messages once read."""
+    """Receiver of parsed messages."""
 
     def head_read(self, message: Message) -> None:
-        """Handle a message whose headers are in."""
+        """Handle a message whose headers are complete."""
 
     def message_read(self, message: Message) -> None:
-        """Handle a whole message."""
+        """Handle a complete message."""
 
 
 class MessageReader:
-    """Callbacks of the parser; builds one `Message` after the other.
+    """Parser callbacks that build one `Message` after another.
 
-    Bodies over ``max_body`` bytes and headers over ``max_head`` raise
-    `TooLarge` out of the parser.
+    Bodies over ``max_body`` bytes and headers over ``max_head`` bytes raise
+    `TooLarge` from within the parser.
     """
 
     def __init__(
@@ -87,7 +99,7 @@
         self.max_body = 1 << 30
         self.max_head = 1 << 20
         self.message = Message()
-        self.own = {
+        self.proxy_headers = {
             header_names.deadline,
             header_names.instance,
             header_names.caller,
@@ -108,76 +120,76 @@
         if message.head_bytes > self.max_head:
             raise TooLarge
         lower = name.lower()
-        known = self.names
+        header_names = self.names
         if lower in CONNECTION_HEADERS:
-            self._note_connection(lower, value)
+            self._read_connection_header(lower, value)
             return
-        if lower in self.own:
-            if lower == known.deadline:
+        if lower in self.proxy_headers:
+            if lower == header_names.deadline:
                 message.deadline_ms = value
             return
-        if lower == known.attempt:
+        if lower == header_names.attempt:
             message.attempt_id = value
         elif lower == b'host':
             message.host = value
             message.hosts += 1
-        elif lower == known.proof:
-            message.proof = True
-        elif lower == known.not_run:
+        elif lower == header_names.proof:
+            message.signed = True
+        elif lower == header_names.not_run:
             message.not_run = True
         elif lower == b'content-encoding':
-            message.encoded = True
+            message.content_encoded = True
         message.head += name + b': ' + value + b'\r\n'
 
-    def _note_connection(self, lower: bytes, value: bytes) -> None:
+    def _read_connection_header(self, lower: bytes, value: bytes) -> None:
         message = self.message
         if lower == b'connection':
             for token in value.lower().split(b','):
                 name = token.strip()
                 if name not in (b'close', b'keep-alive', b''):
-                    message.nominated.append(name)
+                    message.nominated_headers.append(name)
         elif lower == b'keep-alive':
-            message.keep_alive_s = _timeout_of(value)
+            message.keep_alive_s = _keep_alive_timeout_s(value)
         elif lower in (b'content-length', b'transfer-encoding'):
             message.framed = True
         elif lower == b'expect':
             message.expects_continue = value.lower() == b'100-continue'
 
     def on_headers_complete(self) -> None:
-        if self.message.nominated:
-            _drop_headers(self.message)
+        if self.message.nominated_headers:
+            _drop_nominated_headers(self.message)
         self.sink.head_read(self.message)
 
     def on_body(self, body: bytes) -> None:
         message = self.message
-        message.size += len(body)
-        if message.size > self.max_body:
+        message.body_size += len(body)
+        if message.body_size > self.max_body:
             raise TooLarge
-        message.pieces.append(body)
+        message.body_chunks.append(body)
 
     def on_message_complete(self) -> None:
         message = self.message
-        pieces = message.pieces
-        message.body = pieces[0] if len(pieces) == 1 else b''.join(pieces)
-        message.pieces = []
+        chunks = message.body_chunks
+        message.body = chunks[0] if len(chunks) == 1 else b''.join(chunks)
+        message.body_chunks = []
         self.sink.message_read(message)
 
 
-def _timeout_of(value: bytes) -> float | None:
-    """Return the seconds of ``Keep-Alive: timeout=N``, None without."""
+def _keep_alive_timeout_s(value: bytes) -> float | None:
+    """Return the timeout in a ``Keep-Alive`` header, None if absent."""
     for part in value.lower().split(b','):
-        name, _, figure = part.strip().partition(b'=')
-        if name == b'timeout' and figure.strip().isdigit():
-            return float(figure)
+        name, _, seconds = part.strip().partition(b'=')
+        if name == b'timeout' and seconds.strip().isdigit():
+            return float(seconds)
     return None
 
 
-def _drop_headers(message: Message) -> None:
-    """Take out the headers that ``Connection`` names as its own."""
+def _drop_nominated_headers(message: Message) -> None:
+    """Remove the headers that ``Connection`` declares hop-by-hop."""
     kept = [
         line
         for line in bytes(message.head).split(b'\r\n')
-        if line.partition(b':')[0].lower() not in message.nominated
+        if line.partition(b':')[0].lower() not in message.nominated_headers
     ]
     message.head = bytearray(b'\r\n'.join(kept))
 
@@ -190,10 +202,10 @@
     return httptools.HttpResponseParser(reader)
 
 
-def render_answer(
+def render_response(
     status: int, reason: bytes, head: bytes, body: bytes, close: bool
 ) -> bytes:
-    """Return an answer to a caller as one piece."""
+    """Serialize a response to a caller."""
     closing = b'Connection: close\r\n' if close else b''
     if status in (204, 304):
         length = b''
@@ -201,7 +213,7 @@
         length = b'Content-Length: %d\r\n' % len(body)
     return b'HTTP/1.1 %d %s\r\n%s%s%s\r\n%s' % (
         status,
-        reason or REASONS.get(status, b'Unknown'),
+        reason or REASON_PHRASES.get(status, b'Unknown'),
         head,
         length,
         closing,
@@ -212,7 +224,7 @@
 def render_request(
     method: bytes, target: bytes, head: bytes, body: bytes
 ) -> bytes:
-    """Return a request to a target as one piece."""
+    """Serialize a request to a target."""
     if body or method not in (b'GET', b'HEAD', b'DELETE', b'OPTIONS'):
         return b'%s %s HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s' % (
             method,
--- a/src/peridotpost/proxy/listener.py
+++ b/src/peridotpost/proxy/listener.py
@@ -1,4 +1,4 @@
-"""Ports for HTTP requests: of callers, of targets, of the platform."""
+"""HTTP server ports for requests of callers, targets and the platform."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,15 +19,15 @@
 BACKLOG = 1024
 SWEEP_S = 1.0
 IDLE_SLACK_S = 1.0
-"""Idle connections are kept so much longer than promised, so that a
-request sent at the last moment does not cross the close."""
+"""Connections are kept open this much longer than their limits, so that a
+request sent just before a limit does not race with the close."""
 MAX_PIPELINED = 32
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer to whoever sent a request."""
+    """An HTTP response to send to the client."""
 
     status: int
     head: bytes = b''
@@ -35,19 +35,23 @@
     reason: bytes = b''
 
 
-class Pending(Protocol):
-    """A request that is being worked on."""
+class PendingRequest(Protocol):
+    """A request that is being processed."""
 
     def abandoned(self) -> None:
-        """The one who asked has gone."""
+        """Stop work on the request, as the client disconnected."""
 
 
 Respond = Callable[[Reply], None]
-Handle = Callable[[http1.Message, Respond], Pending | None]
+Handler = Callable[[http1.Message, Respond], PendingRequest | None]
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection; requests are answered in order, one at a time."""
+    """Server side of a connection; requests are processed one at a time.
+
+    :param state_since: when it became idle, or when the current message
+        began to arrive.
+    """
 
     def __init__(self, port: 'Port') -> None:
         self.port = port
@@ -58,31 +62,31 @@
         self.parser = http1.request_parser(self.reader)
         self.waiting: list[http1.Message] = []
         self.busy = False
-        self.pending: Pending | None = None
-        self.last_close = False
-        self.broken = False
-        self.since = deadlines.now()
-        self.partial = False
+        self.pending: PendingRequest | None = None
+        self.close_after_response = False
+        self.reading_stopped = False
+        self.state_since = deadlines.now()
+        self.reading_message = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        opened = transport.get_extra_info('socket')
-        if opened is not None:
-            opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock = transport.get_extra_info('socket')
+        if sock is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.port.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.broken:
+        if self.reading_stopped:
             return
-        if not self.busy and not self.partial:
-            self.since = deadlines.now()
-        self.partial = True
+        if not self.busy and not self.reading_message:
+            self.state_since = deadlines.now()
+        self.reading_message = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The request is whole and answered as any other; what follows
-            # in another protocol is not read.
-            self.broken = True
+            # The request itself is complete and processed as usual; data of
+            # the other protocol that follows is not read.
+            self.reading_stopped = True
         except (httptools.HttpParserError, http1.TooLarge) as error:
             self._refuse(error)
 
@@ -91,7 +95,7 @@
             self.transport.write(CONTINUE)
 
     def message_read(self, message: http1.Message) -> None:
-        self.partial = False
+        self.reading_message = False
         message.method = self.parser.get_method()
         message.keep_alive = self.parser.should_keep_alive()
         if self.busy:
@@ -103,9 +107,9 @@
 
     def _begin(self, message: http1.Message) -> None:
         self.busy = True
-        self.last_close = not message.keep_alive
+        self.close_after_response = not message.keep_alive
         pending = self.port.handle(message, self._respond)
-        # The answer may have come within the call.
+        # The handler may already have responded.
         if self.busy:
             self.pending = pending
 
@@ -113,12 +117,16 @@
         transport = self.transport
         self.busy = False
         self.pending = None
-        self.since = deadlines.now()
+        self.state_since = deadlines.now()
         if transport is None or transport.is_closing():
             return
-        close = self.last_close or self.port.closing or self.broken
+        close = (
+            self.close_after_response
+            or self.port.closing
+            or self.reading_stopped
+        )
         transport.write(
-            http1.render_answer(
+            http1.render_response(
                 reply.status, reply.reason, reply.head, reply.body, close
             )
         )
@@ -128,17 +136,17 @@
             self._begin(self.waiting.pop(0))
 
     def _refuse(self, error: Exception) -> None:
-        """Answer what can't be read, and read no more."""
-        self.broken = True
+        """Respond to an invalid request and stop reading."""
+        self.reading_stopped = True
         cause = error.__context__
         too_large = isinstance(error, http1.TooLarge) or isinstance(
             cause, http1.TooLarge
         )
         status = 400
         if too_large:
-            status = 413 if self.reader.message.size else 431
+            status = 413 if self.reader.message.body_size else 431
         if not self.busy:
-            self.last_close = True
+            self.close_after_response = True
             self.busy = True
             self._respond(Reply(status))
 
@@ -155,20 +163,24 @@
             pending.abandoned()
 
     def close_if_idle(self) -> None:
-        if not self.busy and not self.partial and self.transport is not None:
+        if (
+            not self.busy
+            and not self.reading_message
+            and self.transport is not None
+        ):
             self.transport.close()
 
-    def check(self, now: float) -> None:
-        """Close a connection that is idle or whose sender stalls."""
+    def close_if_timed_out(self, now: float) -> None:
+        """Time out a connection that is idle or receives too slowly."""
         if self.busy or self.transport is None:
             return
         limits = self.port.limits
-        if self.partial:
-            if now - self.since > limits.header_timeout_s + IDLE_SLACK_S:
+        if self.reading_message:
+            if now - self.state_since > limits.header_timeout_s + IDLE_SLACK_S:
                 if not self.reader.message.host:
-                    self.last_close = True
+                    self.close_after_response = True
                     self._respond(Reply(408))
-        elif now - self.since > limits.idle_timeout_s + IDLE_SLACK_S:
+        elif now - self.state_since > limits.idle_timeout_s + IDLE_SLACK_S:
             self.transport.close()
 
 
@@ -176,7 +188,7 @@
     """One listening port and its connections."""
 
     def __init__(
-        self, header_names: names.HeaderNames, handle: Handle
+        self, header_names: names.HeaderNames, handle: Handler
     ) -> None:
         self.names = header_names
         self.handle = handle
@@ -187,12 +199,12 @@
 
     @property
     def busy(self) -> int:
-        return sum(one.busy for one in self.connections)
+        return sum(connection.busy for connection in self.connections)
 
     def check(self) -> None:
         now = deadlines.now()
         for connection in list(self.connections):
-            connection.check(now)
+            connection.close_if_timed_out(now)
 
     def stop_listening(self) -> None:
         if self.server is not None:
@@ -200,7 +212,7 @@
             self.server = None
 
     def close_idle(self) -> None:
-        """Close connections on which nothing has begun."""
+        """Close connections without a request."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
@@ -215,9 +227,9 @@
 async def listening(
     port: Port, address: str, number: int
 ) -> AsyncIterator[Port]:
-    """Serve `port` at an address.
+    """Listen at an address and port number while in the context.
 
-    :raises OSError: the address can't be had.
+    :raises OSError: the address can't be bound.
     """
     loop = asyncio.get_running_loop()
     port.server = await loop.create_server(
--- a/src/peridotpost/proxy/names.py
+++ b/src/peridotpost/proxy/names.py
@@ -1,4 +1,4 @@
-"""The header names of one deployment, given by its adapter."""
+"""Header names of a deployment, defined by its platform adapter."""
 
 from collections.abc import Callable
 import dataclasses
@@ -12,14 +12,14 @@
 class HeaderNames:
     """Header names, in lower case, as bytes.
 
-    :param attempt: names one attempt of a caller; targets echo it.
-    :param deadline: milliseconds that the sender still waits.
-    :param proof: a target's mark on an answer of its own.
-    :param not_run: a target's word that it did not run the request.
-    :param instance: the target's incarnation that is to run the request.
-    :param caller: the service on the host where the request began.
-    :param parent_of: returns the id of the request whose run made a call,
-        by the call's id; empty where the id does not tell.
+    :param attempt: id of one attempt of a caller; targets echo it.
+    :param deadline: milliseconds until the sender gives up.
+    :param signature: signature that marks a response as the target's own.
+    :param not_run: set by a target that did not run the request.
+    :param instance: incarnation of the target that is to run the request.
+    :param caller: service on the host where the request originated.
+    :param parent_of: maps the attempt id of a call to that of the request
+        whose run made it; empty if the id does not contain it.
     """
 
     attempt: bytes
--- a/src/peridotpost/proxy/orders.py
+++ b/src/peridotpost/proxy/orders.py
@@ -1,4 +1,4 @@
-"""Orders as frames and back: what two daemons say of a dispatch."""
+"""Conversion of orders, outcomes and release states to and from frames."""
 
 from collections.abc import Callable
 
@@ -11,10 +11,10 @@
 SHARE_UNITS = 10_000
 
 
-def dispatch_of(
+def dispatch_frame(
     number: int, order: forwarding.Order, now: float
 ) -> frames.Dispatch:
-    """Return the frame that sends an order; times go as what is left."""
+    """Return the frame for an order, with deadlines as remaining time."""
     return frames.Dispatch(
         number,
         order.service,
@@ -35,44 +35,44 @@
     )
 
 
-def order_of(
-    told: frames.Dispatch,
+def order_from_frame(
+    frame: frames.Dispatch,
     now: float,
     done: Callable[[forwarding.Outcome], None],
 ) -> forwarding.Order:
-    """Return the order that a frame brings, by this process's clock."""
+    """Return the order in a frame, with deadlines by this process's clock."""
     return forwarding.Order(
-        number=told.number,
-        service=told.service,
-        attempt_id=told.attempt_id,
-        method=told.method,
-        target=told.target,
-        head=told.head,
-        body=told.body,
-        idempotent=told.idempotent,
-        rank=told.rank,
-        deadline=now + told.left_ms / MS_IN_S,
-        objective=now + told.objective_ms / MS_IN_S,
-        last=told.last,
+        number=frame.number,
+        service=frame.service,
+        attempt_id=frame.attempt_id,
+        method=frame.method,
+        target=frame.target,
+        head=frame.head,
+        body=frame.body,
+        idempotent=frame.idempotent,
+        rank=frame.rank,
+        deadline=now + frame.left_ms / MS_IN_S,
+        objective=now + frame.objective_ms / MS_IN_S,
+        last=frame.last,
         done=done,
-        route=told.route,
-        repeat=forwarding.Repeat(told.repeat),
-        inherited=told.inherited / 100,
+        route=frame.route,
+        repeat=forwarding.Repeat(frame.repeat),
+        inherited=frame.inherited / 100,
     )
 
 
-def reply_of(
+def outcome_frame(
     number: int,
     outcome: forwarding.Outcome,
     load: int,
     run_s: float,
     failing: int,
 ) -> frames.Frame:
-    """Return the frame that tells an outcome.
+    """Return the frame for an outcome.
 
-    :param load: of the guard, in hundredths of its slots.
-    :param run_s: mean time of a run of the route there.
-    :param failing: share of failures there, in hundredths.
+    :param load: load of the guard, in hundredths of its slots.
+    :param run_s: mean run time of the route on this target.
+    :param failing: share of failed requests there, in hundredths.
     """
     run_ms = int(run_s * MS_IN_S)
     if isinstance(outcome, forwarding.TargetAnswer):
@@ -99,26 +99,26 @@
     return frames.LostFrame(number, outcome.detail, outcome.crashed)
 
 
-def answer_of(told: frames.Answered) -> forwarding.TargetAnswer:
-    """Return the target's answer that a frame brings."""
+def answer_from_frame(frame: frames.Answered) -> forwarding.TargetAnswer:
+    """Return the target's response in a frame."""
     return forwarding.TargetAnswer(
-        told.status, told.reason, told.head, told.body
+        frame.status, frame.reason, frame.head, frame.body
     )
 
 
-def refusal_of(told: frames.RefusedFrame) -> forwarding.Refused:
-    """Return the refusal that a frame brings."""
+def refusal_from_frame(frame: frames.RefusedFrame) -> forwarding.Refused:
+    """Return the refusal in a frame."""
     return forwarding.Refused(
-        forwarding.Refusal(told.reason),
-        told.retry_after_ms / MS_IN_S,
-        told.arrived,
+        forwarding.Refusal(frame.reason),
+        frame.retry_after_ms / MS_IN_S,
+        frame.arrived,
     )
 
 
 def status_of(
     status: instances.TargetStatus, load: int, failing: int
 ) -> frames.Status:
-    """Return the frame that tells how a target stands."""
+    """Return the frame for a target's status."""
     return frames.Status(
         status.service,
         status.instance,
@@ -131,7 +131,7 @@
 
 
 def update_of(state: release.ReleaseState) -> frames.ReleaseUpdate:
-    """Return the frame that tells a coordinator's state."""
+    """Return the frame for a release coordinator's state."""
     order = state.order
     return frames.ReleaseUpdate(
         order.service,
@@ -149,51 +149,55 @@
     )
 
 
-def state_of(told: frames.ReleaseUpdate) -> release.ReleaseState:
-    """Return the state that a frame tells."""
+def state_of(frame: frames.ReleaseUpdate) -> release.ReleaseState:
+    """Return the release coordinator's state in a frame."""
     order = release.ReleaseOrder(
-        told.service,
-        told.version,
-        told.duration_ms / MS_IN_S,
-        told.revision,
+        frame.service,
+        frame.version,
+        frame.duration_ms / MS_IN_S,
+        frame.revision,
     )
     return release.ReleaseState(
         order,
-        told.epoch,
-        told.number,
-        release.Stage(told.stage),
-        told.share / SHARE_UNITS,
-        told.focus,
-        told.elapsed_ms / MS_IN_S,
-        told.coordinator,
-        tuple(told.banned),
+        frame.epoch,
+        frame.number,
+        release.Stage(frame.stage),
+        frame.share / SHARE_UNITS,
+        frame.focus,
+        frame.elapsed_ms / MS_IN_S,
+        frame.coordinator,
+        tuple(frame.banned),
     )
 
 
 def report_frame(
     order: release.ReleaseOrder, report: release.TargetReport
 ) -> frames.ReleaseReport:
-    """Return the frame that tells a coordinator of a target."""
+    """Return the frame for a target's report to the coordinator."""
     return frames.ReleaseReport(
         order.service,
         order.revision,
         report.version,
         report.drained,
         [
-            frames.RouteCounts(route, one.runs, one.failed, one.by_time)
-            for route, one in report.by_route.items()
+            frames.RouteCounts(
+                route, counts.runs, counts.failed, counts.by_time
+            )
+            for route, counts in report.by_route.items()
         ],
     )
 
 
-def report_of(host: str, told: frames.ReleaseReport) -> release.TargetReport:
-    """Return the report that a frame of `host` brings."""
+def report_of(host: str, frame: frames.ReleaseReport) -> release.TargetReport:
+    """Return the report in a frame that `host` sent."""
     return release.TargetReport(
         host,
-        told.version,
-        told.drained,
+        frame.version,
+        frame.drained,
         {
-            one.route: release.RouteRuns(one.runs, one.failed, one.by_time)
-            for one in told.routes
+            counts.route: release.RouteRuns(
+                counts.runs, counts.failed, counts.by_time
+            )
+            for counts in frame.routes
         },
     )
--- a/src/peridotpost/proxy/peers.py
+++ b/src/peridotpost/proxy/peers.py
@@ -1,4 +1,4 @@
-"""Streams between daemons: the side that dials sends dispatches."""
+"""Streams between daemons; the side that opens one sends the dispatches."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,62 +17,65 @@
 from peridotpost.proxy import orders
 
 CONNECT_TIMEOUT_S = 0.6
-"""Ten times the longest way between zones there and back."""
-SILENCE_S = 0.15
-"""Without a byte for so long while something is owed, a ping is sent."""
-SUSPECT_S = 0.25
-"""After a ping is unanswered for so long, what may run twice is sent to
-another target; the longest way there and back is a tenth of it."""
-DEAD_S = 1.2
-"""A stream on which a ping stays unanswered for so long is given up: it
-may be silent for good while a fresh one works.  Long enough for a host
-that only is slow to still bring its answers."""
+"""Ten times the longest round trip between zones."""
+PING_AFTER_S = 0.15
+"""A ping is sent if nothing is received for this long while dispatches are
+outstanding."""
+REROUTE_AFTER_S = 0.25
+"""If a ping is unanswered for this long, idempotent requests are rerouted to
+another target; the longest round trip is a tenth of it."""
+CLOSE_AFTER_S = 1.2
+"""If a ping is unanswered for this long, the stream is closed: it may stay
+silent forever while a new one would work.  Long enough for a host that is
+only slow to deliver its responses."""
 IDLE_PING_S = 2.0
-"""Pause between pings on a stream that carries nothing."""
-FAR_IDLE_PING_S = 20.0
-"""The same to another zone, where bytes are dear; a stream that died
-unnoticed is found out by the first request on it, within ``SILENCE_S`` and
-``SUSPECT_S``."""
+"""Interval between pings on an idle stream."""
+REMOTE_ZONE_IDLE_PING_S = 20.0
+"""The same for a stream to another zone, where traffic is expensive.  A stream
+that died unnoticed is detected by the first request on it, within
+``PING_AFTER_S`` plus ``REROUTE_AFTER_S``."""
 SWEEP_S = 0.1
-MAX_BUFFERED = 32 * 1024 * 1024
-"""Bytes that a peer that does not read may hold of our memory."""
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024
+"""Limit of the write buffer; a peer that stops reading is disconnected."""
 
 
-class Neighbour(Protocol):
-    """What a stream's owner does with frames that are not of calls."""
+class StreamOwner(Protocol):
+    """Owner of a stream; handles the frames that do not concern requests."""
 
     version: int
     counts: counters.Counters
     leaving: bool
 
     def hello(self, compressed: bool) -> frames.Hello:
-        """Return what is told first."""
+        """Return the first frame to send."""
 
     def is_far(self, availability_zone: str) -> bool:
-        """Whether bytes to that zone are dear."""
+        """Whether a zone is not this host's own, so traffic is expensive."""
 
-    def met(self, stream: 'PeerStream', told: frames.Hello) -> None:
-        """The other side said who it is."""
+    def met(self, stream: 'PeerStream', hello: frames.Hello) -> None:
+        """Handle the peer's `Hello`, which identifies it."""
 
     def notice(self, stream: 'PeerStream', frame: frames.Frame) -> None:
-        """Handle a frame on configuration, membership or crashes."""
+        """Handle a frame on configuration, releases, membership or crashes."""
 
     def stream_lost(self, stream: 'PeerStream') -> None:
-        """The stream is no more."""
+        """Handle the end of the stream."""
 
 
 class PeerStream(asyncio.Protocol):
-    """One TCP stream to another daemon; writes go out once a loop turn.
+    """One TCP stream to another daemon.
 
-    :param zone: the other side's, where this side dialled and so sends
-        dispatches; None where the other side did.
-    :param incarnation: of the other side's process; 0 until it said who it
-        is.
-    :param version: of the configuration that it had when it said so.
+    Frames are batched into one write per iteration of the event loop.
+
+    :param zone: the peer's zone if this side opened the stream and so sends
+        dispatches; None if the peer opened it.
+    :param incarnation: the peer's process; 0 until its `Hello` arrives.
+    :param version: the peer's configuration version in its `Hello`.
+    :param asked: whether the peer was asked which daemons it knows.
     """
 
     def __init__(
-        self, owner: Neighbour, guard: guards.Guard, zone: str | None = None
+        self, owner: StreamOwner, guard: guards.Guard, zone: str | None = None
     ) -> None:
         self.owner = owner
         self.guard = guard
@@ -84,16 +87,16 @@
         self.idle_ping_s = IDLE_PING_S
         self.reader = frames.FrameReader()
         self.transport: asyncio.Transport | None = None
-        self.pending: list[bytes] = []
-        self.flushing = False
+        self.write_queue: list[bytes] = []
+        self.flush_scheduled = False
         self.closed = False
-        self.numbers = itertools.count(1)
+        self.dispatch_numbers = itertools.count(1)
         self.sent: dict[int, forwarding.Order] = {}
         self.received: dict[int, forwarding.Order] = {}
         self.host = ''
         self.incarnation = 0
         self.received_at = deadlines.now()
-        self.owed_since = 0.0
+        self.unanswered_since = 0.0
         self.pinged_at = 0.0
         self.on_load: Callable[[float, float], None] | None = None
         self.on_run: Callable[[str, float], None] | None = None
@@ -101,43 +104,43 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        opened = transport.get_extra_info('socket')
-        if opened is not None:
-            opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock = transport.get_extra_info('socket')
+        if sock is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.dialled:
-            self._greet()
+            self._send_hello()
 
-    def _greet(self) -> None:
-        """Say who this is; what follows to another zone is compressed."""
+    def _send_hello(self) -> None:
+        """Send `Hello`; later frames to another zone are compressed."""
         far = self.owner.is_far(self.zone)
         assert self.transport is not None
         self.transport.write(frames.encode(self.owner.hello(far)))
         if far:
             self.deflater = frames.deflater()
-            self.idle_ping_s = FAR_IDLE_PING_S
+            self.idle_ping_s = REMOTE_ZONE_IDLE_PING_S
 
     def send(self, frame: frames.Frame) -> None:
-        """Queue a frame for the end of this turn of the loop."""
+        """Queue a frame for the next write."""
         if self.closed:
             return
         raw = frames.encode(frame)
-        self.pending.append(raw)
+        self.write_queue.append(raw)
         if self.deflater is not None:
             kind = type(frame).__name__.lower()
             self.owner.counts.add(f'far-bytes.{kind}', len(raw))
-        if not self.flushing:
-            self.flushing = True
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flushing = False
+        self.flush_scheduled = False
         if self.closed or self.transport is None:
             return
-        if self.transport.get_write_buffer_size() > MAX_BUFFERED:
+        if self.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
             self.close()
             return
-        pending = self.pending
-        self.pending = []
+        pending = self.write_queue
+        self.write_queue = []
         raw = pending[0] if len(pending) == 1 else b''.join(pending)
         if self.deflater is not None:
             raw = self.deflater.compress(raw)
@@ -149,47 +152,47 @@
     def dispatch(self, order: forwarding.Order) -> None:
         """Send an order to the other side's guard."""
         now = deadlines.now()
-        number = next(self.numbers)
+        number = next(self.dispatch_numbers)
         order.number = number
         if not self.sent:
-            self.owed_since = now
+            self.unanswered_since = now
         self.sent[number] = order
-        self.send(orders.dispatch_of(number, order, now))
+        self.send(orders.dispatch_frame(number, order, now))
 
     def withdraw(self, order: forwarding.Order) -> None:
-        """Tell the other side that nobody waits for `order`."""
+        """Tell the peer that the outcome of `order` is no longer needed."""
         self.send(frames.Cancel(order.number))
 
     def data_received(self, data: bytes) -> None:
         self.received_at = deadlines.now()
         self.pinged_at = 0.0
         try:
-            found = self.reader.feed(data)
+            received = self.reader.feed(data)
         except frames.BadFrame:
             self.close()
             return
         withdrawn = {
-            frame.number for frame in found if type(frame) is frames.Cancel
+            frame.number for frame in received if type(frame) is frames.Cancel
         }
-        for frame in found:
+        for frame in received:
             if type(frame) is frames.Dispatch and frame.number in withdrawn:
-                # Both waited while this process stood still.  Run now, it
-                # would run for a caller that has long been answered.
+                # Both frames queued up while this process was stalled.  The
+                # caller was already answered, so the request must not run.
                 refused = forwarding.Refused(forwarding.Refusal.WITHDRAWN)
                 self._reply(frame, refused)
                 continue
-            self._handle(frame)
+            self._handle_frame(frame)
 
-    def _handle(self, frame: frames.Frame) -> None:
-        # By how often they come; singledispatch would cost more than the
-        # handling of the small ones.
+    def _handle_frame(self, frame: frames.Frame) -> None:
+        # Ordered by frequency.  ``functools.singledispatch`` would cost more
+        # than handling the small frames does.
         kind = type(frame)
         if kind is frames.Dispatch:
-            self._dispatched(cast(frames.Dispatch, frame))
+            self._dispatch_received(cast(frames.Dispatch, frame))
         elif kind is frames.Answered:
-            self._answered(cast(frames.Answered, frame))
+            self._answer_received(cast(frames.Answered, frame))
         elif kind is frames.RefusedFrame:
-            self._refused(cast(frames.RefusedFrame, frame))
+            self._refusal_received(cast(frames.RefusedFrame, frame))
         elif kind is frames.LostFrame:
             lost = cast(frames.LostFrame, frame)
             self._settle(
@@ -199,48 +202,52 @@
             self._body_wanted(cast(frames.BodyWanted, frame).number)
         elif kind is frames.Body:
             body = cast(frames.Body, frame)
-            wanting = self.received.get(body.number)
-            if wanting is not None:
-                self.guard.body_came(wanting, body.body)
+            awaiting_order = self.received.get(body.number)
+            if awaiting_order is not None:
+                self.guard.receive_body(awaiting_order, body.body)
         elif kind is frames.Cancel:
             order = self.received.get(cast(frames.Cancel, frame).number)
             if order is not None:
                 self.guard.cancel(order)
         elif kind is frames.Ping:
-            told = cast(frames.Ping, frame).version
+            peer_version = cast(frames.Ping, frame).version
             self.send(
-                frames.Pong(self._load(), self.owner.version, self._failing())
+                frames.Pong(
+                    self._load_percent(),
+                    self.owner.version,
+                    self._failing_percent(),
+                )
             )
-            self.owner.notice(self, frames.Version(told))
+            self.owner.notice(self, frames.Version(peer_version))
         elif kind is frames.Pong:
             pong = cast(frames.Pong, frame)
-            self._note_load(pong.load, pong.failing)
+            self._report_load(pong.load, pong.failing)
             self.owner.notice(self, frames.Version(pong.version))
         elif kind is frames.Hello:
-            self._met(cast(frames.Hello, frame))
+            self._hello_received(cast(frames.Hello, frame))
         else:
             self.owner.notice(self, frame)
 
-    def _met(self, told: frames.Hello) -> None:
-        self.host = told.host
-        self.incarnation = told.incarnation
-        self.slow = told.slow
-        self.version = told.version
+    def _hello_received(self, hello: frames.Hello) -> None:
+        self.host = hello.host
+        self.incarnation = hello.incarnation
+        self.slow = hello.slow
+        self.version = hello.version
         if not self.dialled:
-            self.zone = told.availability_zone
-            self._greet()
-        self.owner.met(self, told)
+            self.zone = hello.availability_zone
+            self._send_hello()
+        self.owner.met(self, hello)
 
-    def _dispatched(self, told: frames.Dispatch) -> None:
+    def _dispatch_received(self, dispatch: frames.Dispatch) -> None:
         now = deadlines.now()
-        number = told.number
+        number = dispatch.number
 
         def done(outcome: forwarding.Outcome) -> None:
             self.received.pop(number, None)
-            self._reply(told, outcome)
+            self._reply(dispatch, outcome)
 
-        order = orders.order_of(told, now, done)
-        if told.body_later:
+        order = orders.order_from_frame(dispatch, now, done)
+        if dispatch.body_later:
             order.fetch_body = lambda: self.send(frames.BodyWanted(number))
         self.received[number] = order
         self.guard.submit(order)
@@ -251,36 +258,40 @@
             self.send(frames.Body(number, order.body))
 
     def _reply(
-        self, told: frames.Dispatch, outcome: forwarding.Outcome
+        self, dispatch: frames.Dispatch, outcome: forwarding.Outcome
     ) -> None:
-        run_s = self.guard.queue.times.expected_s(told.route)
+        run_s = self.guard.queue.times.expected_s(dispatch.route)
         self.send(
-            orders.reply_of(
-                told.number, outcome, self._load(), run_s, self._failing()
+            orders.outcome_frame(
+                dispatch.number,
+                outcome,
+                self._load_percent(),
+                run_s,
+                self._failing_percent(),
             )
         )
 
-    def _load(self) -> int:
+    def _load_percent(self) -> int:
         return int(self.guard.queue.load * 100)
 
-    def _failing(self) -> int:
+    def _failing_percent(self) -> int:
         return int(self.guard.failures.value(deadlines.now()) * 100)
 
-    def _answered(self, told: frames.Answered) -> None:
-        self._note_load(told.load, told.failing)
-        self._note_run(told.number, told.run_ms)
-        self._settle(told.number, orders.answer_of(told))
+    def _answer_received(self, answer: frames.Answered) -> None:
+        self._report_load(answer.load, answer.failing)
+        self._report_run(answer.number, answer.run_ms)
+        self._settle(answer.number, orders.answer_from_frame(answer))
 
-    def _refused(self, told: frames.RefusedFrame) -> None:
-        self._note_load(told.load, told.failing)
-        self._note_run(told.number, told.run_ms)
-        self._settle(told.number, orders.refusal_of(told))
+    def _refusal_received(self, refusal: frames.RefusedFrame) -> None:
+        self._report_load(refusal.load, refusal.failing)
+        self._report_run(refusal.number, refusal.run_ms)
+        self._settle(refusal.number, orders.refusal_from_frame(refusal))
 
-    def _note_load(self, load: int, failing: int) -> None:
+    def _report_load(self, load: int, failing: int) -> None:
         if self.on_load is not None:
             self.on_load(load / 100, failing / 100)
 
-    def _note_run(self, number: int, run_ms: int) -> None:
+    def _report_run(self, number: int, run_ms: int) -> None:
         order = self.sent.get(number)
         if run_ms and order is not None and self.on_run is not None:
             self.on_run(order.route, run_ms / 1000)
@@ -291,31 +302,31 @@
             order.settle(outcome)
 
     def check(self, now: float) -> None:
-        """Ping a silent stream, give up one that stays silent.
+        """Ping a silent peer, and close the stream if it stays silent.
 
-        A daemon that is leaving waits for what it has sent as long as the
-        deadlines allow.  Its callers have nobody else to ask on their
-        connections, and most silent peers are only busy: given up, a run
-        that would have been answered is cut, and its caller gets 502.
+        A daemon that is shutting down keeps waiting for outstanding dispatches
+        until their deadlines.  Most silent peers are only busy: closing the
+        stream would abort runs that would still be answered, and callers,
+        which have no other daemon to use on their connections, would get 502.
         """
         if self.pinged_at:
             if self.owner.leaving and self.sent:
                 return
             silent_s = now - self.pinged_at
-            if silent_s > DEAD_S:
+            if silent_s > CLOSE_AFTER_S:
                 self.close()
-            elif silent_s > SUSPECT_S:
-                self._move_what_may_run_twice()
+            elif silent_s > REROUTE_AFTER_S:
+                self._reroute_idempotent()
             return
         quiet_since = self.received_at
         if self.sent:
-            quiet_since = max(quiet_since, self.owed_since)
-        bound = SILENCE_S if self.sent else self.idle_ping_s
+            quiet_since = max(quiet_since, self.unanswered_since)
+        bound = PING_AFTER_S if self.sent else self.idle_ping_s
         if self.dialled and now - quiet_since > bound:
             self.pinged_at = now
             self.send(frames.Ping(self.owner.version))
 
-    def _move_what_may_run_twice(self) -> None:
+    def _reroute_idempotent(self) -> None:
         for number, order in list(self.sent.items()):
             if order.idempotent and order.may_move():
                 del self.sent[number]
@@ -324,7 +335,7 @@
 
     @property
     def suspect(self) -> bool:
-        """Whether the other side owes a sign of life."""
+        """Whether it is closed, or a ping and dispatches are unanswered."""
         return self.closed or self.pinged_at > 0.0 and bool(self.sent)
 
     def close(self) -> None:
@@ -339,7 +350,7 @@
         self.closed = True
         self.owner.stream_lost(self)
         for order in list(self.received.values()):
-            # Nobody is left to get the answer.
+            # The response can no longer be delivered.
             self.guard.cancel(order)
         sent = list(self.sent.values())
         self.sent.clear()
@@ -348,13 +359,13 @@
 
 
 async def dial(
-    owner: Neighbour,
+    owner: StreamOwner,
     guard: guards.Guard,
     record: instances.HostRecord,
 ) -> PeerStream:
     """Open a stream to another daemon.
 
-    :raises OSError: it is not there; ``TimeoutError`` included.
+    :raises OSError: it can't be reached; includes ``TimeoutError``.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/src/peridotpost/proxy/reachability.py
+++ b/src/peridotpost/proxy/reachability.py
@@ -1,4 +1,4 @@
-"""Whether this host's target takes connections, and what ran as it ended."""
+"""Tracks whether the target accepts connections, and detects its crashes."""
 
 import asyncio
 import collections
@@ -13,87 +13,91 @@
 from peridotpost.proxy import deadlines
 from peridotpost.proxy import upstream
 
-DOWN_PAUSE_S = 0.1
-"""First pause between two tries to reach a target that refuses
-connections; doubles up to ``MAX_DOWN_PAUSE_S``."""
-MAX_DOWN_PAUSE_S = 0.8
+MIN_RECONNECT_PAUSE_S = 0.1
+"""Initial delay between attempts to connect to a target that refuses
+connections; doubles up to ``MAX_RECONNECT_PAUSE_S``."""
+MAX_RECONNECT_PAUSE_S = 0.8
 CRASH_WINDOW_S = 1.0
-"""A lost request is taken for a cause of the crash if the target refuses
-connections within this time; a restart takes longer."""
-MAX_LOSSES = 64
-"""More than a target has slots; older ones are out of the window."""
+"""A request whose response was lost is suspected of a crash if the target
+refuses connections within this time; a restart takes longer."""
+MAX_LOST_ANSWERS = 64
+"""More than the slots of a target, so any dropped entries are older than
+``CRASH_WINDOW_S``."""
 
 
-class Owner(Protocol):
-    """The guard, as far as connections go."""
+class ReachabilityOwner(Protocol):
+    """The part of the guard that manages connections."""
 
     def expects_target(self) -> bool:
-        """Whether the target is announced and may get work."""
+        """Whether the target is announced as ready and may be given work."""
 
     def connect(self) -> Awaitable[upstream.TargetConnection]:
-        """Open a connection; raises ``OSError``."""
+        """Open a connection to the target.
 
-    def keep(self, connection: upstream.TargetConnection) -> None:
-        """Take a connection that was opened to see whether it can be."""
+        :raises OSError: the connection could not be opened.
+        """
+
+    def adopt_connection(self, connection: upstream.TargetConnection) -> None:
+        """Add a connection opened as a reachability check to the idle pool."""
 
     def target_down(self) -> None:
-        """The target takes no connections any more."""
+        """Handle that the target stopped accepting connections."""
 
     def target_up(self) -> None:
-        """The target takes connections again."""
+        """Handle that the target accepts connections again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loss:
-    """A request whose answer was lost, and when."""
+class LostAnswer:
+    """A request whose response was lost, and the time of the loss."""
 
     at: float
     order: forwarding.Order
 
 
 class Reachability:
-    """Notes lost answers and refused connections; tries until it is back.
+    """Tracks lost responses and failed connects, and retries connecting.
 
-    :param crashed: fires with the fingerprints of what was lost just
-        before the target refused connections.
+    :param crashed: fired with the fingerprints of requests whose responses
+        were lost shortly before the target refused connections.
     """
 
-    def __init__(self, owner: Owner, log: lines.LineLog) -> None:
+    def __init__(self, owner: ReachabilityOwner, log: lines.LineLog) -> None:
         self.owner = owner
         self.log = log
         self.down = False
-        self.pause_s = DOWN_PAUSE_S
-        self.losses: collections.deque[Loss] = collections.deque(
-            maxlen=MAX_LOSSES
+        self.reconnect_pause_s = MIN_RECONNECT_PAUSE_S
+        self.lost_answers: collections.deque[LostAnswer] = collections.deque(
+            maxlen=MAX_LOST_ANSWERS
         )
         self.crashed: hooks.Hook[tuple[str, ...]] = hooks.Hook('crash')
 
     def answer_lost(self, order: forwarding.Order) -> None:
-        """Note a request whose answer was lost; see whether it crashed."""
-        self.losses.append(Loss(deadlines.now(), order))
-        self._check()
+        """Record a lost response and check whether the target crashed."""
+        self.lost_answers.append(LostAnswer(deadlines.now(), order))
+        self._check_now()
 
-    def replaced(self) -> None:
-        """Another target was announced, and is taken to be up."""
+    def instance_replaced(self) -> None:
+        """Assume that a newly announced instance is reachable."""
         self.down = False
 
     def refused(self, error: OSError) -> None:
-        """The target takes no connection: it crashed or is gone."""
+        """Handle a failed connect, which means a crashed or gone target."""
         now = deadlines.now()
         suspects = tuple(
             poison.fingerprint(
-                one.order.method, one.order.target, one.order.body
+                lost.order.method, lost.order.target, lost.order.body
             )
-            for one in self.losses
-            if now - one.at <= CRASH_WINDOW_S
+            for lost in self.lost_answers
+            if now - lost.at <= CRASH_WINDOW_S
         )
-        self.losses.clear()
+        self.lost_answers.clear()
         if suspects:
             self.crashed.fire(suspects)
         if self.down:
             return
         self.down = True
-        self.pause_s = DOWN_PAUSE_S
+        self.reconnect_pause_s = MIN_RECONNECT_PAUSE_S
         self.log.state(
             'target', to='unreachable', error=str(error) or 'timeout'
         )
@@ -102,11 +106,13 @@
 
     def _check_later(self) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(self.pause_s, self._check)
-        self.pause_s = min(MAX_DOWN_PAUSE_S, 2 * self.pause_s)
+        loop.call_later(self.reconnect_pause_s, self._check_now)
+        self.reconnect_pause_s = min(
+            MAX_RECONNECT_PAUSE_S, 2 * self.reconnect_pause_s
+        )
 
-    def _check(self) -> None:
-        """See whether the target takes connections."""
+    def _check_now(self) -> None:
+        """Start a connection attempt."""
         asyncio.ensure_future(self._try_connection(self.down))
 
     async def _try_connection(self, was_down: bool) -> None:
@@ -119,7 +125,7 @@
             if was_down:
                 self._check_later()
             return
-        self.owner.keep(connection)
+        self.owner.adopt_connection(connection)
         if was_down and self.down:
             self.down = False
             self.owner.target_up()
--- a/src/peridotpost/proxy/recognition.py
+++ b/src/peridotpost/proxy/requesthistory.py
@@ -1,8 +1,8 @@
-"""What an ingress knows of a request from before: crashes and refusals.
+"""Earlier crashes and refusals of a request, as recorded by an ingress.
 
-Attempts of one request have ids of their own, so a request is known by its
-fingerprint.  It is only taken where there is something to compare it with:
-on a calm day both memories are empty.
+Each attempt of a request has its own id, so requests are identified by
+fingerprint.  A fingerprint is only computed if there are entries to compare
+it with; in normal operation there are none.
 """
 
 from collections.abc import Iterable
@@ -14,15 +14,16 @@
 from peridotpost.proxy import exchange as exchanges
 from peridotpost.proxy import http1
 
-KNOWN_BY_BYTES = 65_536
-"""Of a refused request's body it is known by so many: hashing 64 MB, the
-most that callers may send, would hold up all others for tens of
-milliseconds each time.  That two requests with the same path agree so far
-and then differ costs no more than a wrong guess of who comes again."""
+FINGERPRINT_BODY_BYTES = 65_536
+"""Bytes of a refused request's body that its fingerprint covers.  Hashing
+64 MB, the most that callers may send, would block the event loop for tens of
+milliseconds each time.  If two requests with the same path differ only after
+this prefix, one may be mistaken for a retry of the other; this does no other
+harm."""
 
 
-class Recognition:
-    """The memories of one ingress."""
+class RequestHistory:
+    """Crash suspects and refused requests of one ingress."""
 
     def __init__(self) -> None:
         self.poison = poison.PoisonList()
@@ -31,35 +32,35 @@
     def first_attempt(
         self, message: http1.Message, route: mesh.PathRoute
     ) -> returning.FirstAttempt | None:
-        """Return the first attempt of a request that was refused before."""
+        """Return the first attempt of a request that was refused earlier."""
         if not self.refused.held:
             return None
-        name = _refusal_name(message)
+        name = _refusal_fingerprint(message)
         return self.refused.came(name, route.name, deadlines.now())
 
-    def was_refused(self, exchange: exchanges.Exchange) -> None:
-        """Remember a refusal until its caller's deadline."""
+    def remember_refusal(self, exchange: exchanges.Exchange) -> None:
+        """Record a refusal, to recognize a retry before the deadline."""
         attempt = returning.FirstAttempt(
             exchange.route.name,
             exchange.service,
             exchange.first_at,
             exchange.patient_until,
         )
-        self.refused.refused(_refusal_name(exchange.message), attempt)
+        self.refused.refused(_refusal_fingerprint(exchange.message), attempt)
 
     def crashed(
         self, fingerprints: Iterable[str], target: str, incident: str
     ) -> None:
-        """Note requests that were running when a target crashed."""
+        """Record requests that were running when a target crashed."""
         self.poison.crashed(fingerprints, target, incident, deadlines.now())
 
-    def was_answered(self, message: http1.Message) -> None:
-        """Clear a request that a target answered well."""
+    def clear_answered(self, message: http1.Message) -> None:
+        """Clear the crash suspicion of a request that was answered."""
         if self.poison.suspects:
             self.poison.cleared((_fingerprint(message),))
 
-    def crashes_targets(self, message: http1.Message) -> bool:
-        """Whether a request is refused for the targets that it crashed."""
+    def is_poison(self, message: http1.Message) -> bool:
+        """Whether a request must be refused because it crashed targets."""
         if not self.poison.suspects:
             return False
         names = (_fingerprint(message),)
@@ -70,6 +71,6 @@
     return poison.fingerprint(message.method, message.target, message.body)
 
 
-def _refusal_name(message: http1.Message) -> str:
-    body = message.body[:KNOWN_BY_BYTES]
+def _refusal_fingerprint(message: http1.Message) -> str:
+    body = message.body[:FINGERPRINT_BODY_BYTES]
     return poison.fingerprint(message.method, message.target, body)
--- a/src/peridotpost/proxy/requestlog.py
+++ b/src/peridotpost/proxy/requestlog.py
@@ -1,4 +1,4 @@
-"""Log lines of an ingress: one for each decision on a request."""
+"""Log lines of an ingress, one per decision on a request."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,14 +11,14 @@
 from peridotpost.proxy import exchange as exchanges
 from peridotpost.proxy import http1
 
-TARGET_BYTES = 80
-"""Part of a request's path that is told where no route names it."""
+MAX_LOGGED_TARGET_BYTES = 80
+"""Longest part of the request target logged for a request without a route."""
 
 
 class RequestLog:
-    """Builds a line only where the log has room for it.
+    """Logs decisions; a line is only built if the log's budget allows it.
 
-    :param config: the configuration in force, None before the first.
+    :param config: returns the current configuration, None before the first.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self.config = config
 
     def answered(self, exchange: exchanges.Exchange, status: int) -> None:
-        """Tell of a target's answer; of the good ones, one in a second."""
+        """Log a target's response; successful ones once a second at most."""
         if status >= attempts.FAILED_STATUS:
             self.ended(exchange, 'failed', exchange.host, str(status))
             return
@@ -46,7 +46,7 @@
         target: str,
         detail: str,
     ) -> None:
-        """Tell what a caller receives that no target gave it."""
+        """Log a final result other than a successful response."""
         if self.log.has_room(logbudget.Weight.ENDING):
             now = deadlines.now()
             fields = self._fields(exchange, target, detail, now)
@@ -55,7 +55,7 @@
     def lost(
         self, exchange: exchanges.Exchange, target: str, detail: str
     ) -> None:
-        """Tell of a dispatch that ended without an answer."""
+        """Log a dispatch that ended without a response."""
         if self.log.has_room(logbudget.Weight.STEP):
             now = deadlines.now()
             fields = self._fields(exchange, target, detail, now)
@@ -64,13 +64,13 @@
     def refused_unrouted(
         self, message: http1.Message, status: int, reason: str
     ) -> None:
-        """Tell of a request that was refused before it had a route."""
+        """Log a request that was refused before a route was found."""
         self.log.request(
             'refused',
             request=message.attempt_id.decode('latin-1'),
             status=status,
             reason=reason,
-            target=message.target[:TARGET_BYTES].decode('latin-1'),
+            target=message.target[:MAX_LOGGED_TARGET_BYTES].decode('latin-1'),
             version=self._version(),
         )
 
--- a/src/peridotpost/proxy/upstream.py
+++ b/src/peridotpost/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""Connections of a guard to the target on its host."""
+"""Connections from a guard to the target on its host."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,35 +13,35 @@
 from peridotpost.proxy import names
 
 CONNECT_TIMEOUT_S = 0.5
-"""A target on the same host answers a connect in about a millisecond; half
-a second without an answer means that it is gone."""
+"""A target on the same host accepts a connection in about a millisecond; one
+that takes half a second is considered gone."""
 IDLE_MARGIN_S = 1.0
-"""How long before the target's own idle timeout a connection is given up:
-a request sent as the target closes is lost."""
+"""A connection is no longer used this long before the target's idle timeout,
+as a request sent while the target closes the connection is lost."""
 DEFAULT_IDLE_S = 4.0
-"""Idle time where the target states none."""
-ONCE_IDLE_S = 0.5
-"""Idle time after which a request that may run once only gets a connection
-of its own.  A target may drop an idle connection without a word and sooner
-than it said; what is sent next is reset, and such a request can't be sent
-again.  Opening one costs a millisecond."""
-IDLE_SHARE = 0.7
-"""Part of the stated idle timeout that is used at the most."""
+"""Idle time if the target states no timeout."""
+NON_IDEMPOTENT_IDLE_S = 0.5
+"""Idle time after which a non-idempotent request gets a new connection.  A
+target may drop an idle connection silently and earlier than it stated; the
+next request on it is reset, and a non-idempotent one can't be retried.  A new
+connection costs a millisecond."""
+IDLE_TIMEOUT_SHARE = 0.7
+"""Largest part of the stated idle timeout that is used."""
 NO_BODY = frozenset({204, 304})
-MAX_BODY = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
-LeftHook = Callable[['TargetConnection', bool], None]
+ReleaseCallback = Callable[['TargetConnection', bool], None]
 
 
 class TargetConnection(asyncio.Protocol):
-    """One connection, one request at a time.
+    """One connection that carries one request at a time.
 
-    :param left: called when it takes no request any more, with whether it
-        was lost while a request was on it.
+    :param left: called when a request ends or the connection is lost, with
+        whether it was lost during a request.
     """
 
     def __init__(
-        self, header_names: names.HeaderNames, left: LeftHook
+        self, header_names: names.HeaderNames, left: ReleaseCallback
     ) -> None:
         self.names = header_names
         self.left = left
@@ -49,15 +49,15 @@
         self.outcome: forwarding.Outcome | None = None
         self.transport: asyncio.Transport | None = None
         self.reader = http1.MessageReader(header_names, self)
-        self.reader.max_body = MAX_BODY
+        self.reader.max_body = MAX_BODY_BYTES
         self.parser = http1.response_parser(self.reader)
-        self.reading: http1.Message | None = None
+        self.partial_response: http1.Message | None = None
         self.reusable = True
         self.closed = False
-        self.abandoned = False
+        self.aborted = False
         self.idle_since = 0.0
         self.idle_s = DEFAULT_IDLE_S
-        self.stray = 0
+        self.stray_answers = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -68,22 +68,26 @@
         self.outcome = None
         self.transport.write(payload)
 
-    def usable(self, now: float, once: bool = False) -> bool:
-        """Whether a request may go onto this idle connection.
+    def is_usable(self, now: float, non_idempotent: bool = False) -> bool:
+        """Whether a request may be sent on this idle connection.
 
-        :param once: the request may run once only.
+        :param non_idempotent: whether the request must not run twice.
         """
         if self.closed or not self.reusable or self.transport is None:
             return False
         if self.transport.is_closing():
             return False
-        idle_s = min(self.idle_s, ONCE_IDLE_S) if once else self.idle_s
+        idle_s = (
+            min(self.idle_s, NON_IDEMPOTENT_IDLE_S)
+            if non_idempotent
+            else self.idle_s
+        )
         return now - self.idle_since < idle_s
 
     def data_received(self, data: bytes) -> None:
         if self.order is None:
-            # Bytes that nobody asked for would be taken for the start of
-            # the next answer.
+            # Unsolicited bytes would be read as the start of the next
+            # response.
             self.close()
             return
         try:
@@ -97,12 +101,12 @@
             self._finish()
 
     def head_read(self, message: http1.Message) -> None:
-        self.reading = message
+        self.partial_response = message
         if not self.parser.should_keep_alive() or not message.framed:
             self.reusable = False
 
     def message_read(self, message: http1.Message) -> None:
-        self.reading = None
+        self.partial_response = None
         message.status = self.parser.get_status_code()
         if message.status < 200:
             return
@@ -111,23 +115,25 @@
             self.reusable = False
             return
         if message.attempt_id and message.attempt_id != order.attempt_id:
-            # A second answer to the request before; ours is still to come.
-            self.stray += 1
+            # A second response to an earlier request; the response to the
+            # current one is still outstanding.
+            self.stray_answers += 1
             self.reusable = False
             return
-        self.outcome = judge(message)
+        self.outcome = classify_response(message)
         if message.keep_alive_s is not None:
-            allowed = message.keep_alive_s
+            timeout_s = message.keep_alive_s
             self.idle_s = min(
-                max(0.0, allowed - IDLE_MARGIN_S), IDLE_SHARE * allowed
+                max(0.0, timeout_s - IDLE_MARGIN_S),
+                IDLE_TIMEOUT_SHARE * timeout_s,
             )
 
     def eof_received(self) -> bool:
-        message = self.reading
+        message = self.partial_response
         if message is not None and not message.framed and self.order:
-            # An answer without a length ends with its connection.
-            message.body = b''.join(message.pieces)
-            message.pieces = []
+            # A response without a length ends with the connection.
+            message.body = b''.join(message.body_chunks)
+            message.body_chunks = []
             self.message_read(message)
             if self.outcome is not None:
                 self._finish()
@@ -142,9 +148,9 @@
             detail = 'target reset' if exc else 'target closed'
             order.settle(forwarding.Lost(f'{detail} the connection'))
 
-    def abandon(self) -> None:
-        """Close at once; the target may drop what it runs."""
-        self.abandoned = True
+    def abort(self) -> None:
+        """Abort the current request; the target may stop running it."""
+        self.aborted = True
         self.order = None
         self.close()
 
@@ -159,8 +165,8 @@
         assert self.transport is not None
         self.order = None
         if self.transport.get_write_buffer_size():
-            # The target answered before it took the whole body.  What is
-            # left of it would be read as the next request.
+            # The target responded before it read the whole body.  It would
+            # read the rest of the body as the next request.
             self.reusable = False
         if not self.reusable:
             self.close()
@@ -170,25 +176,29 @@
 
 
 class IdlePool:
-    """Connections that wait for a request; the last one used goes first.
+    """Idle connections; the most recently used one is taken first.
 
-    The others are idle for longer, which is when targets close them.
+    The others have been idle for longer, so targets are more likely to have
+    closed them.
     """
 
     def __init__(self) -> None:
         self.connections: list[TargetConnection] = []
 
-    def take(self, now: float, once: bool) -> TargetConnection | None:
-        """Return one that may still be used, None without one.
+    def take(
+        self, now: float, non_idempotent: bool
+    ) -> TargetConnection | None:
+        """Remove and return a usable connection, None if there is none.
 
-        :param once: for a request that may run once only.
+        :param non_idempotent: whether the request must not run twice.
         """
         while self.connections:
             connection = self.connections.pop()
-            if connection.usable(now, once):
+            if connection.is_usable(now, non_idempotent):
                 return connection
-            if connection.usable(now):
-                # Still good for others; those below are idle for longer.
+            if connection.is_usable(now):
+                # Still usable for idempotent requests; the remaining ones
+                # have been idle for longer.
                 self.connections.append(connection)
                 return None
             connection.close()
@@ -207,18 +217,18 @@
         self.connections.clear()
 
 
-def judge(message: http1.Message) -> forwarding.Outcome:
-    """Tell what a whole answer means for its request."""
+def classify_response(message: http1.Message) -> forwarding.Outcome:
+    """Return the outcome that a complete response means."""
     status = message.status
     if message.not_run or status == 421:
         reason = forwarding.Refusal.SHED
         if status == 421:
             reason = forwarding.Refusal.WRONG_SERVICE
         return forwarding.Refused(reason, arrived=True)
-    if status < 300 and not message.proof:
+    if status < 300 and not message.signed:
         return forwarding.Lost('answer without the mark of the target')
-    if message.encoded:
-        return forwarding.Lost('answer in an encoding nobody asked for')
+    if message.content_encoded:
+        return forwarding.Lost('answer with an unexpected content encoding')
     return forwarding.TargetAnswer(
         status, message.reason, bytes(message.head), message.body
     )
@@ -228,18 +238,18 @@
     address: str,
     port: int,
     header_names: names.HeaderNames,
-    left: LeftHook,
+    left: ReleaseCallback,
 ) -> TargetConnection:
     """Open a connection to a target.
 
-    :raises OSError: it is not there; ``TimeoutError`` included.
+    :raises OSError: it can't be reached; includes ``TimeoutError``.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
         transport, protocol = await loop.create_connection(
             lambda: TargetConnection(header_names, left), address, port
         )
-    opened = transport.get_extra_info('socket')
-    if opened is not None:
-        opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock = transport.get_extra_info('socket')
+    if sock is not None:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return protocol
--- a/testing/test_deadlines.py
+++ b/testing/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines expire, each once, whatever came before."""
+"""Deadlines expire exactly once, in any order of registration."""
 
 import asyncio
 import functools
@@ -21,9 +21,11 @@
 async def test_what_is_kept_expires(
     delays: list[float], kept: list[int]
 ) -> None:
-    """A lone request on an idle host was never timed out: its slot was
-    taken for an empty one while the timer was set."""
-    sweep = deadlines.Deadlines()
+    """Guards against a single request on an idle host never timing out.
+
+    Its time slot was dropped as empty while the timer was being armed.
+    """
+    timer = deadlines.Deadlines()
     expired: list[int] = []
     all_expired = asyncio.Event()
 
@@ -34,12 +36,12 @@
 
     start = deadlines.now()
     slots = [
-        sweep.add(start + delay, index, functools.partial(note, index))
+        timer.add(start + delay, index, functools.partial(note, index))
         for index, delay in enumerate(delays)
     ]
     for index, slot in enumerate(slots):
         if index not in kept:
-            sweep.discard(slot, index)
+            timer.discard(slot, index)
     await asyncio.wait_for(all_expired.wait(), 20)
-    sweep.close()
+    timer.close()
     assert sorted(expired) == kept
--- a/testing/test_deltas.py
+++ b/testing/test_deltas.py
@@ -1,4 +1,4 @@
-"""A delta gives the new text exactly, and is small where little changed."""
+"""A delta reproduces the new text exactly and is small for small changes."""
 
 import json
 import zlib
@@ -46,10 +46,10 @@
 
 
 def test_a_thousand_new_routes_do_not_fill_a_slow_link() -> None:
-    """Requests time out on all hosts while operators add many routes.
+    """Guards against timeouts on all hosts while operators add many routes.
 
-    The difference was sent as it is.  190 KB take a link of 3.5 Mbit/s
-    0.4 s, and the hosts that serve their zone send ten copies.
+    Deltas were sent uncompressed: 190 KB take 0.4 s on a link of 3.5 Mbit/s,
+    and hosts that distribute to their zone send ten copies.
     """
     old = json.dumps({'routes': []}).encode()
     routes = [
--- a/testing/test_frames.py
+++ b/testing/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames survive any split of the stream; noise ends it, in bounds."""
+"""Frames decode for any split of the stream; invalid data is rejected."""
 
 import random
 
--- a/testing/test_http1_split.py
+++ b/testing/test_http1_split.py
@@ -1,4 +1,4 @@
-"""Messages mean the same however the network cuts them; noise is bounded."""
+"""Messages parse the same for any split; damaged ones stay bounded."""
 
 import random
 
@@ -29,13 +29,13 @@
 
 
 class Sink:
-    """Collects what a reader gives out."""
+    """Collects the messages of a reader."""
 
     def __init__(self) -> None:
         self.messages: list[http1.Message] = []
 
     def head_read(self, message: http1.Message) -> None:
-        """Not of interest here."""
+        """Ignored."""
 
     def message_read(self, message: http1.Message) -> None:
         self.messages.append(message)
@@ -55,7 +55,7 @@
     return sink.messages
 
 
-def seen(messages: list[http1.Message]) -> list[tuple[object, ...]]:
+def compared_fields(messages: list[http1.Message]) -> list[tuple[object, ...]]:
     return [
         (
             bytes(one.head),
@@ -64,7 +64,7 @@
             one.attempt_id,
             one.deadline_ms,
             one.not_run,
-            one.proof,
+            one.signed,
             one.framed,
             one.keep_alive_s,
         )
@@ -86,9 +86,9 @@
 ) -> None:
     source = random.Random(seed)
     sizes = [source.choice([1, 1, 2, 3, 17, 90]) for _ in range(len(raw))]
-    whole = seen(parse(raw, [], answers))
+    whole = compared_fields(parse(raw, [], answers))
     assert len(whole) == 3
-    assert seen(parse(raw, sizes, answers)) == whole
+    assert compared_fields(parse(raw, sizes, answers)) == whole
 
 
 def test_headers_of_the_connection_and_of_our_own_are_not_passed_on() -> None:
--- a/testing/test_peer_streams.py
+++ b/testing/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Streams between proxies that stand still, go silent or are replaced."""
+"""Streams between proxies that are stalled, silent or restarted."""
 
 import asyncio
 import dataclasses
@@ -32,9 +32,12 @@
 
 
 async def test_what_was_withdrawn_during_a_freeze_does_not_run() -> None:
-    """A guard's process is frozen for seconds; meanwhile an ingress sends
-    it a request, gives up on it and tells the caller.  On waking, the guard
-    reads the request and its withdrawal together and must not run it."""
+    """Guards against running a request whose caller was already answered.
+
+    A guard's process is frozen for seconds.  Meanwhile an ingress sends it a
+    request, cancels it and answers the caller.  When the guard resumes, it
+    reads the dispatch and its cancellation together.
+    """
     async with proxies.pair() as (_, first, second):
         (stream,) = first.proxy.directory.accepted
         batch = frames.encode(dispatch(901)) + frames.encode(
@@ -46,9 +49,11 @@
 
 
 async def test_a_silent_peer_loses_reads_at_once_and_writes_late() -> None:
-    """A connection goes silent for good while new ones work.  A read is
-    sent elsewhere as soon as a ping stays unanswered; a write, which can't
-    be sent again, waits for its answer as long as the stream lives."""
+    """A connection goes silent permanently while new ones work.
+
+    A read is rerouted as soon as a ping stays unanswered.  A write can't be
+    retried, so it waits for its response until the stream is closed.
+    """
     async with proxies.pair() as (_, first, _second):
         stream = first.proxy.directory.peers['b'].stream
         assert stream is not None and stream.transport is not None
@@ -57,12 +62,12 @@
         for name, idempotent in (('read', True), ('write', False)):
             stream.dispatch(_order(name, idempotent, outcomes))
         now = deadlines.now()
-        stream.check(now + peers.SILENCE_S * 1.1)
+        stream.check(now + peers.PING_AFTER_S * 1.1)
         assert stream.suspect and not outcomes
-        stream.check(stream.pinged_at + peers.SUSPECT_S * 1.1)
+        stream.check(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
         assert isinstance(outcomes.pop('read'), forwarding.Lost)
         assert not outcomes
-        stream.check(stream.pinged_at + peers.DEAD_S * 1.1)
+        stream.check(stream.pinged_at + peers.CLOSE_AFTER_S * 1.1)
         await conditions.until(lambda: 'write' in outcomes)
         assert isinstance(outcomes['write'], forwarding.Lost)
         await conditions.until(
@@ -97,8 +102,10 @@
 
 
 async def test_a_restarted_peer_is_dialled_again_at_once() -> None:
-    """A host lost power: nothing comes on the old stream, not even a
-    reset.  Its new record shows that the process behind it is gone."""
+    """A host lost power, so its old stream is silent without a reset.
+
+    The host's new record shows that the process of the stream has ended.
+    """
     async with proxies.pair() as (_, first, second):
         peer = first.proxy.directory.peers['b']
         before = peer.stream
@@ -121,10 +128,11 @@
 async def test_a_read_that_nobody_else_may_run_waits_for_a_silent_peer() -> (
     None
 ):
-    """A busy host is silent for half a second, then it answers.
+    """Guards against 502 for a read without an alternative target.
 
-    A read of a route with one attempt was given up meanwhile: its target's
-    work was thrown away, and its caller got 502 with no second try.
+    A busy host is silent for half a second and then responds.  A read of a
+    route with a single attempt was cancelled meanwhile, so the target's work
+    was lost and the caller got 502 without a retry.
     """
     async with proxies.pair() as (_, first, _second):
         stream = first.proxy.directory.peers['b'].stream
@@ -134,16 +142,17 @@
         order = _order('read', True, outcomes)
         order.may_move = lambda: False
         stream.dispatch(order)
-        stream.check(deadlines.now() + peers.SILENCE_S * 1.1)
-        stream.check(stream.pinged_at + peers.SUSPECT_S * 1.1)
+        stream.check(deadlines.now() + peers.PING_AFTER_S * 1.1)
+        stream.check(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
         assert not outcomes
 
 
 async def test_a_leaving_daemon_waits_for_silent_peers() -> None:
-    """A daemon was told to stop; a peer is busy and silent for a second.
+    """Guards against 502 while a daemon shuts down and a peer is busy.
 
-    The reads at that peer were given up, and one that could not be served
-    elsewhere in time ended with 502 though its target was at work on it.
+    The peer is silent for a second.  Reads dispatched to it were cancelled,
+    and one that no other target could serve in time ended with 502 although
+    its target was still running it.
     """
     async with proxies.pair() as (_, first, _second):
         stream = first.proxy.directory.peers['b'].stream
@@ -153,10 +162,10 @@
         outcomes: dict[str, forwarding.Outcome] = {}
         for name, idempotent in (('read', True), ('write', False)):
             stream.dispatch(_order(name, idempotent, outcomes))
-        stream.check(deadlines.now() + peers.SILENCE_S * 1.1)
+        stream.check(deadlines.now() + peers.PING_AFTER_S * 1.1)
         assert stream.pinged_at
-        stream.check(stream.pinged_at + peers.SUSPECT_S * 1.1)
-        stream.check(stream.pinged_at + peers.DEAD_S * 1.1)
+        stream.check(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
+        stream.check(stream.pinged_at + peers.CLOSE_AFTER_S * 1.1)
         assert not outcomes
         assert not stream.transport.is_closing()
 
@@ -171,12 +180,12 @@
 async def test_a_late_record_does_not_cut_the_stream_to_a_restarted_peer(
     newer_by: int, kept: bool
 ) -> None:
-    """A caller gets 502 for a request that its target was running.
+    """Guards against 502 for running requests during a rolling restart.
 
-    Hosts are restarted in turn.  A daemon dials a peer that is just back
-    and sends it requests; then it hears of the peer's new record, by the
-    store or another peer, takes its stream for one to the process before,
-    and closes it.  What ran by way of it is cut.
+    A daemon opens a stream to a peer that has just restarted and dispatches
+    requests to it.  It then receives the peer's new record from the store or
+    another peer, mistakes the stream for one to the previous process and
+    closes it, which aborts the requests.
     """
     async with proxies.pair() as (_, first, second):
         directory = first.proxy.directory
@@ -188,11 +197,11 @@
         peer.record = dataclasses.replace(
             record, incarnation=record.incarnation - 1
         )
-        told = dataclasses.replace(
+        newer_record = dataclasses.replace(
             record, incarnation=record.incarnation + newer_by
         )
-        directory.learn(told, recorded=True)
-        assert peer.record == told
+        directory.learn(newer_record, recorded=True)
+        assert peer.record == newer_record
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert stream.closed is not kept
--- a/testing/test_proxy_bodies.py
+++ b/testing/test_proxy_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that go to a busy target's host only once its guard takes them."""
+"""Request bodies are sent to a busy target's host only on request."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def sent(monkeypatch: pytest.MonkeyPatch) -> list[frames.Frame]:
-    """Frames that any daemon sends from here on."""
+    """Frames that any daemon sends after the fixture is set up."""
     found: list[frames.Frame] = []
     send = peers.PeerStream.send
 
@@ -29,12 +29,12 @@
 
 @pytest.fixture
 def always_busy(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every target may refuse, as far as an ingress knows."""
-    monkeypatch.setattr(forwarder, 'BUSY', -1.0)
+    """Makes an ingress assume that every target is busy."""
+    monkeypatch.setattr(forwarder, 'BUSY_LOAD', -1.0)
 
 
 async def far_target(mesh: proxies.Mesh, slots: int = 1) -> proxies.Host:
-    """Return a host whose service has its target on another one."""
+    """Return a host whose requests go to a target on another host."""
     await mesh.kv.configure(proxies.config())
     near = await mesh.add('a', service='vault')
     far = await mesh.add('b', slots=slots)
@@ -47,7 +47,10 @@
 async def test_a_refused_request_costs_no_body_on_the_way(
     sent: list[frames.Frame], always_busy: None
 ) -> None:
-    """Under overload bodies of refused requests filled the links."""
+    """Guards against links filled by bodies of refused requests.
+
+    Under overload the bodies were sent although the requests were refused.
+    """
     async with proxies.running() as mesh:
         near = await far_target(mesh)
         far = mesh.hosts['b']
@@ -88,7 +91,7 @@
 async def test_a_slot_that_waits_for_a_body_is_given_back(
     ends: str, always_busy: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The body is held up on the way; its request has a slot already."""
+    """The body is delayed on the network while its request has a slot."""
     held: list[tuple[peers.PeerStream, int]] = []
     wanted = peers.PeerStream._body_wanted
     monkeypatch.setattr(
@@ -117,7 +120,7 @@
 async def test_bodies_go_at_once_to_a_target_with_room(
     sent: list[frames.Frame],
 ) -> None:
-    """Asked for first, each would cost a way there and back on calm days."""
+    """Requesting the body first would cost a round trip without need."""
     async with proxies.running() as mesh:
         near = await far_target(mesh, slots=20)
         await asyncio.gather(
--- a/testing/test_proxy_callers.py
+++ b/testing/test_proxy_callers.py
@@ -1,4 +1,4 @@
-"""What callers may rely on, and what they may not send."""
+"""Guarantees to callers, and requests that are rejected."""
 
 import pytest
 
@@ -173,7 +173,11 @@
 async def test_calls_are_repeats_where_the_run_that_makes_them_is_one(
     attempt: str, inherited: float
 ) -> None:
-    """A host's repeats marked all that its callers sent as repeats."""
+    """Guards against callers' requests counted as repeats.
+
+    While a host ran repeats, all requests of its callers were counted as
+    repeats too.
+    """
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config())
         host = await mesh.add('a')
@@ -187,7 +191,8 @@
             guard.running_by_attempt[
                 b'repeats'
             ].repeat = forwarding.Repeat.AGAIN
-            # The first call that names its parent shows that calls do.
+            # From the first call with a parent id on, the ingress knows that
+            # calls carry them.
             await host.ask('/read/ok', attempt='first.0')
             seen = []
             submit = guard.submit
--- a/testing/test_proxy_leaving.py
+++ b/testing/test_proxy_leaving.py
@@ -1,4 +1,4 @@
-"""Targets and proxies that leave: nothing new reaches them, nothing is cut."""
+"""Targets and proxies that leave get no new work and abort no running work."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 DRAINING = instances.InstanceState.DRAINING
 
 
-def told(
+def announcement(
     instance: str = 'i-1',
     born: int = 1000,
     sequence: int = 1,
@@ -27,34 +27,37 @@
 @pytest.mark.parametrize(
     ('before', 'late', 'current'),
     [
-        pytest.param([], told(), 'i-1', id='first'),
+        pytest.param([], announcement(), 'i-1', id='first'),
         pytest.param(
-            [told(sequence=5, state=DRAINING)],
-            told(sequence=4),
+            [announcement(sequence=5, state=DRAINING)],
+            announcement(sequence=4),
             None,
             id='ready from before the drain',
         ),
         pytest.param(
-            [told(sequence=5, state=DRAINING)],
-            told(sequence=6),
+            [announcement(sequence=5, state=DRAINING)],
+            announcement(sequence=6),
             None,
             id='ready again after the drain',
         ),
         pytest.param(
-            [told('i-2', born=2000)],
-            told('i-1', born=1000, sequence=99),
+            [announcement('i-2', born=2000)],
+            announcement('i-1', born=1000, sequence=99),
             'i-2',
             id='dead incarnation, held up on the way',
         ),
         pytest.param(
-            [told(born=1000, sequence=50)],
-            told(born=2000, sequence=1),
+            [announcement(born=1000, sequence=50)],
+            announcement(born=2000, sequence=1),
             'i-1',
             id='same id, started again',
         ),
         pytest.param(
-            [told(born=1000, state=DRAINING), told(born=2000, sequence=1)],
-            told(born=1000, sequence=99),
+            [
+                announcement(born=1000, state=DRAINING),
+                announcement(born=2000, sequence=1),
+            ],
+            announcement(born=1000, sequence=99),
             'i-1',
             id='same id, word of the incarnation before',
         ),
@@ -76,17 +79,20 @@
 
 def test_a_target_that_left_stays_away_until_it_starts_again() -> None:
     log = incarnations.InstanceLog()
-    log.offer(told(born=1000, sequence=3))
+    log.offer(announcement(born=1000, sequence=3))
     assert log.leave('i-1', 1000)
-    assert not log.offer(told(born=1000, sequence=4))
-    assert log.offer(told(born=3000, sequence=1))
+    assert not log.offer(announcement(born=1000, sequence=4))
+    assert log.offer(announcement(born=3000, sequence=1))
 
 
 async def test_nothing_reaches_a_target_whose_drain_was_acknowledged() -> None:
-    """A target says that it drains; requests were waiting for its slots.
-    They go to another target, and none comes to it any more."""
+    """A target begins to drain while requests are queued for its slots.
+
+    The queued requests go to another target, and it gets no further ones.
+    """
     async with proxies.running() as mesh:
-        # All ten have time to wait for the four slots of the only target.
+        # With this latency objective all ten requests may queue for the four
+        # slots of the only target.
         write = proxies.route('write', '/write/', 'unsafe', 1, 'register')
         write |= {'targetLatencyMs': 3900}
         await mesh.kv.configure(proxies.config(routes=[write]))
@@ -165,8 +171,10 @@
 async def test_a_stopping_proxy_ends_what_it_has_begun(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A proxy is told to stop while it has requests of callers and runs
-    one for another proxy; all are answered before it is gone."""
+    """A proxy answers all its requests before it stops.
+
+    At the stop it has a request of a caller and one from another proxy.
+    """
     monkeypatch.setattr('peridotpost.mesh.daemon.GUARD_STOPS_S', 0.0)
     monkeypatch.setattr('peridotpost.mesh.daemon.OUT_OF_ROTATION_S', 0.0)
     async with proxies.pair() as (_, first, second):
@@ -191,9 +199,12 @@
 async def test_a_stopping_proxy_takes_nothing_new_while_it_ends_the_rest(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A proxy that stops still has a long request under way.  Callers keep
-    sending on connections that they hold and on new ones, so it is never
-    idle, and the last requests that it took are cut when it is killed."""
+    """Guards against a stopping proxy that never becomes idle.
+
+    It still has a long request running.  Callers keep sending requests on open
+    and new connections, and the last ones that it accepted are aborted when it
+    is killed.
+    """
     monkeypatch.setattr('peridotpost.mesh.daemon.GUARD_STOPS_S', 0.0)
     monkeypatch.setattr('peridotpost.mesh.daemon.OUT_OF_ROTATION_S', 0.0)
     async with proxies.pair() as (_, first, _second):
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -1,4 +1,4 @@
-"""What a target may do wrong, and what the caller is told."""
+"""Faults of targets, and the responses that callers get."""
 
 import asyncio
 import dataclasses
@@ -41,15 +41,17 @@
         if write.status == 200:
             assert write.body == read.body == b'done'
         ran = first.worker.attempts() + second.worker.attempts()
-        # A read may run at two targets, a write at one, whatever happens.
+        # A read runs on at most two targets, a write on at most one.
         assert ran.count('a1') <= 2
         assert ran.count('w1') <= 1
 
 
 async def test_answers_after_a_second_one_belong_to_their_requests() -> None:
-    """A target sends one answer too many; the next request on that
-    connection would get it, and each caller after it the answer of the
-    one before."""
+    """Guards against responses shifted by one request on a connection.
+
+    A target sends a second response to a request.  The next request on that
+    connection would get it, and each later one the response before its own.
+    """
     async with proxies.pair() as (_, first, _second):
         async with first.caller() as caller:
             for number in range(20):
@@ -62,11 +64,11 @@
 
 
 async def test_an_answer_before_the_body_is_read_spoils_nothing() -> None:
-    """A target answers a long write by its head alone and reads on later.
+    """Guards against body bytes being read as part of the next request.
 
-    The rest of the body was still to be sent then.  Left out, or followed
-    by another request on that connection, it was read as part of the next
-    request.
+    A target responds to a large write after reading its headers only, and
+    reads on later.  The rest of the body was not sent yet at that time; if the
+    connection was reused, body and next request were mixed up.
     """
     bodies = {
         f'w{number}': bytes([65 + number]) * 6_000_000 for number in (1, 2)
@@ -96,9 +98,11 @@
 
 
 async def test_a_replaced_target_at_the_address_runs_nothing() -> None:
-    """A target ends without a word and its address serves another one.
-    Requests for the first reach the second, which refuses them since they
-    name the incarnation that they are for; they run elsewhere."""
+    """A target ends unannounced and another one takes over its address.
+
+    Requests for the first target reach the second one, which refuses them
+    because they name another incarnation.  They run on other targets.
+    """
     async with proxies.pair() as (_, first, second):
         first.worker.instance = 'i-another'
         answer = await first.ask('/write/ok', method='POST', body=b'x')
@@ -121,9 +125,14 @@
 async def test_a_write_does_not_go_onto_a_connection_long_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A target drops its idle connections without a word; what is sent
-    next on one is reset.  A read is sent again, a write would be lost."""
-    monkeypatch.setattr('peridotpost.proxy.upstream.ONCE_IDLE_S', 0.0)
+    """Guards against writes lost on connections that the target dropped.
+
+    A target drops its idle connections silently, and the next request on one
+    is reset.  A read is retried, but a write would be lost.
+    """
+    monkeypatch.setattr(
+        'peridotpost.proxy.upstream.NON_IDEMPOTENT_IDLE_S', 0.0
+    )
     async with proxies.pair() as (_, first, second):
         for host in (first, second):
             await host.ask('/read/ok', attempt=f'r{host.name}')
@@ -136,8 +145,10 @@
 
 
 async def test_no_more_requests_at_once_than_the_target_has_slots() -> None:
-    """A target that has no slot free never answers on that connection
-    again; so it must never get a request that it has no slot for."""
+    """The target never gets a request that it has no free slot for.
+
+    It would never respond on that connection again.
+    """
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config())
         host = await mesh.add('a', slots=2)
@@ -155,11 +166,12 @@
 
 
 async def test_a_request_that_waited_in_vain_is_refused_in_time() -> None:
-    """A write waits for a slot, and none frees before its deadline.
+    """Guards against an unknown outcome for a write that never started.
 
-    At the deadline its ingress could only say that it may have run, and a
-    write can't be sent again after that.  The guard knows better, and says
-    so while there is time.
+    No slot becomes free before the write's deadline.  At the deadline the
+    ingress could only report that the write may have run, after which it
+    can't be retried.  The guard knows that it has not run and refuses it
+    before the deadline.
     """
     async with proxies.full() as host:
         answer = await host.ask(
@@ -187,8 +199,10 @@
 
 
 async def test_a_caller_that_leaves_does_not_cut_a_write() -> None:
-    """A non-idempotent request that is cut off half done can't be sent
-    again; it ends, though nobody waits for the answer."""
+    """A non-idempotent run is not aborted when its caller disconnects.
+
+    Aborted halfway, it could not be retried.
+    """
     async with proxies.pair() as (_, first, second):
         async with first.caller() as caller:
             caller.send('/write/hold', method='POST', body=b'x')
@@ -198,17 +212,19 @@
         await conditions.until(lambda: not first.proxy.forwarder.in_flight)
         for host in (first, second):
             host.worker.release.set()
-            await conditions.until(functools.partial(_idle, host))
+            await conditions.until(functools.partial(_runs_nothing, host))
             assert not host.worker.dropped
 
 
-def _idle(host: proxies.Host) -> bool:
+def _runs_nothing(host: proxies.Host) -> bool:
     return not host.worker.running
 
 
 async def test_a_request_that_crashes_its_targets_is_refused() -> None:
-    """One request crashes each target that runs it and its caller sends
-    it again; without a memory of it the service loses all its targets."""
+    """Guards against the loss of all targets to one crashing request.
+
+    The request crashes each target that runs it, and its caller retries it.
+    """
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config())
         hosts = [await mesh.add(name) for name in 'abcd']
@@ -233,7 +249,7 @@
 async def test_a_failed_read_is_answered_when_no_guard_takes_its_repeat() -> (
     None
 ):
-    """The answer that was there is delivered, not a refusal of our own."""
+    """The target's failed response is delivered instead of a refusal."""
     async with proxies.pair() as (_mesh, first, second):
         for host in (first, second):
             host.proxy.guard.budget.extra = 0.0
@@ -249,7 +265,10 @@
 
 
 async def test_peers_that_sent_nothing_know_which_target_fails() -> None:
-    """Each ingress had to lose some writes of its own to learn of it."""
+    """Guards against each ingress losing writes to a failing target.
+
+    An ingress only learned of the failures from its own lost writes.
+    """
     async with proxies.pair() as (mesh, first, _second):
         observer = await mesh.add('c', service='vault')
         await mesh.ready()
@@ -267,7 +286,7 @@
 
 
 async def test_a_second_stream_of_a_peer_does_not_cut_the_first_one() -> None:
-    """A peer dialled a dead host's address that this host had taken over."""
+    """A peer connects to a dead host's address that this host took over."""
     async with proxies.pair() as (_mesh, first, second):
         directory = first.proxy.directory
         stream = directory.peers['b'].stream
@@ -285,7 +304,7 @@
 
 
 async def test_an_address_that_another_host_took_over_is_not_dialled() -> None:
-    """The record of a host outlives it, and a new host has its address."""
+    """A host's record outlives the host, and a new host has its address."""
     async with proxies.pair() as (_mesh, first, second):
         gone = dataclasses.replace(
             second.proxy.own,
--- a/testing/test_returning.py
+++ b/testing/test_returning.py
@@ -1,4 +1,4 @@
-"""Callers that were refused and come again, at the ingress that knows them."""
+"""Retries of refused requests at the ingress that refused them."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
 SHARES = (mesh.Share('stable', 75), mesh.Share('trial', 25))
 
 
-def first(until: float = 2.0) -> returning.FirstAttempt:
+def make_attempt(until: float = 2.0) -> returning.FirstAttempt:
     return returning.FirstAttempt('issue', 'stable', 1.0, until)
 
 
@@ -34,54 +34,53 @@
     fingerprint: str, route: str, now: float, known: bool
 ) -> None:
     refused = returning.RefusedRequests()
-    refused.refused('f', first())
+    refused.refused('f', make_attempt())
     assert (refused.came(fingerprint, route, now) is not None) is known
 
 
 def test_a_memory_serves_once() -> None:
     refused = returning.RefusedRequests()
-    refused.refused('f', first())
-    assert refused.came('f', 'issue', 1.1) == first()
+    refused.refused('f', make_attempt())
+    assert refused.came('f', 'issue', 1.1) == make_attempt()
     assert refused.came('f', 'issue', 1.2) is None
 
 
 def test_the_memory_is_bounded() -> None:
     refused = returning.RefusedRequests()
     for number in range(returning.MAX_REMEMBERED + 10):
-        refused.refused(f'f{number}', first())
+        refused.refused(f'f{number}', make_attempt())
     assert len(refused.held) == returning.MAX_REMEMBERED
     assert refused.came('f9', 'issue', 1.1) is None
     assert refused.came('f10', 'issue', 1.1) is not None
 
 
 class SplitUnderLoad:
-    """A split whose larger part refuses four in five.
+    """A traffic split whose larger share refuses four in five requests.
 
-    Each refused caller comes again once, after some others; then it is
-    served, so that what counts is where it ends.
+    Each refused caller retries once, after some others, and is then served.
     """
 
     def __init__(self, remembering: bool) -> None:
         self.remembering = remembering
-        self.dice = random.Random(3)
+        self.random_source = random.Random(3)
         self.splitter = split.Splitter()
         self.refused = returning.RefusedRequests()
         self.waiting: collections.deque[str] = collections.deque()
-        self.ended: collections.Counter[str] = collections.Counter()
+        self.served: collections.Counter[str] = collections.Counter()
 
-    def play(self) -> float:
-        """Return the share of the callers that end at the smaller part."""
+    def run(self) -> float:
+        """Return the fraction of callers served by the smaller share."""
         for number in range(4000):
             service = self.ask(str(number))
-            if service == 'stable' and self.dice.random() < 0.8:
+            if service == 'stable' and self.random_source.random() < 0.8:
                 self.refuse(str(number), service)
             else:
-                self.ended[service] += 1
+                self.served[service] += 1
             if len(self.waiting) > 20:
-                self.ended[self.ask(self.waiting.popleft())] += 1
+                self.served[self.ask(self.waiting.popleft())] += 1
         while self.waiting:
-            self.ended[self.ask(self.waiting.popleft())] += 1
-        return self.ended['trial'] / self.ended.total()
+            self.served[self.ask(self.waiting.popleft())] += 1
+        return self.served['trial'] / self.served.total()
 
     def ask(self, name: str) -> str:
         known = self.refused.came(name, 'issue', 0.0)
@@ -96,35 +95,36 @@
 
 
 def test_a_refused_request_does_not_move_to_another_part() -> None:
-    """The weights of a split are lost while one part is short of room.
+    """Guards against skewed split weights while one service is overloaded.
 
-    The larger part refuses most of what it gets.  Each refused caller
-    comes again and draws anew; one in four lands at the other part, which
-    then gets more than its quarter of the callers.
+    The service with the larger share refuses most requests.  If retries are
+    assigned anew, one in four goes to the other service, which then gets more
+    than its quarter of the callers.
     """
-    assert SplitUnderLoad(remembering=True).play() == pytest.approx(
+    assert SplitUnderLoad(remembering=True).run() == pytest.approx(
         0.25, abs=0.03
     )
-    assert SplitUnderLoad(remembering=False).play() > 0.35
+    assert SplitUnderLoad(remembering=False).run() > 0.35
 
 
 async def test_a_part_is_kept_by_a_caller_that_comes_again() -> None:
-    """A caller refused by one part of a split is run by the other part.
+    """Guards against a retry served by the other service of a split.
 
-    The first part has no target, so the caller gets 503 and comes again;
-    drawn anew, it reaches the second part, against the weights.
+    The first service has no target, so the caller gets 503 and retries.  If
+    the retry is assigned anew, it reaches the second service, against the
+    weights.
     """
-    async with proxies.running() as mesh_of:
+    async with proxies.running() as running_mesh:
         text = proxies.config()
         del text['routes'][0]['service']
         text['routes'][0]['trafficSplit'] = [
             {'service': 'vault', 'weight': 60},
             {'service': 'register', 'weight': 40},
         ]
-        await mesh_of.kv.configure(text)
-        host = await mesh_of.add('a')
+        await running_mesh.kv.configure(text)
+        host = await running_mesh.add('a')
         await host.announce()
-        await mesh_of.ready()
+        await running_mesh.ready()
         statuses = [
             (await host.ask('/read/ok', attempt=f'a{number}')).status
             for number in range(4)
@@ -136,17 +136,17 @@
 
 
 async def test_the_objective_runs_from_the_first_attempt() -> None:
-    """A caller that comes again is late by its own count, not by ours."""
-    async with proxies.running() as mesh_of:
-        await mesh_of.kv.configure(proxies.config())
-        host = await mesh_of.add('a', slots=1)
-        await mesh_of.ready()
+    """Lateness of a retry is measured from the caller's first attempt."""
+    async with proxies.running() as running_mesh:
+        await running_mesh.kv.configure(proxies.config())
+        host = await running_mesh.add('a', slots=1)
+        await running_mesh.ready()
         assert (await host.ask('/read/hold', attempt='a1')).status == 503
         (first_attempt,) = (
             host.proxy.forwarder.recognition.refused.held.values()
         )
         await host.announce()
-        await mesh_of.ready()
+        await running_mesh.ready()
         again = asyncio.ensure_future(host.ask('/read/hold', attempt='a2'))
         await conditions.until(lambda: len(host.worker.runs) == 1)
         (order,) = host.proxy.guard.running
