--- a/src/peridotpost/decisions/releasesplit.py
+++ b/src/peridotpost/decisions/releasesplit.py
@@ -1,20 +1,20 @@
-"""Which version of a service's targets an ingress sends a request to.
-
-Load pattern: targets of a new version start beside the old ones, as many as
-these and idle.  Chosen by load alone they would get half of the requests at
-once, the failures of a bad version with them.
-
-- Without an order, the version that a service's targets had first gets all
-  requests as long as one of these targets is ready; to a daemon that just
-  started, the one that most of them have.
-- During a release the new version gets a request for each
-  ``(1 - share) / share`` that the old one has run, counted by each ingress
-  for its own requests.  The sum over any number of ingresses keeps the
-  share, whoever joins, restarts or is cut off.
-- An ingress that has not heard from the coordinator for ``HOLD_S`` sends
-  nothing to the new version.
-- A version that was rolled back gets nothing; once a release has completed,
-  all others get nothing.
+"""Splits the requests of a service between the versions of its targets.
+
+Load pattern: targets of a new version start beside the old ones, equal in
+number and idle.  If targets were selected by load alone, the new ones would
+get half of the requests at once, including the failures of a bad version.
+
+- Without an order, the first version that the service's targets had gets all
+  requests as long as one of those targets is ready.  For a daemon that just
+  started, this is the version that most targets have.
+- During a release the new version gets one request for each
+  ``(1 - share) / share`` requests that the old one has run, counted by each
+  ingress for its own requests.  The total over any number of ingresses keeps
+  to the share, whichever of them join, restart or are cut off.
+- An ingress that got no update from the coordinator for ``UPDATE_TIMEOUT_S``
+  sends nothing to the new version.
+- A version that was rolled back gets no requests; once a release has
+  completed, no other version gets any.
 """
 
 from collections.abc import Collection
@@ -23,22 +23,23 @@
 from peridotpost.decisions import targetstate
 from peridotpost.model import release
 
-HOLD_S = 1.5
-"""Three times the pause between two updates of a coordinator."""
-SETTLED_S = 3.0
-"""By then a daemon has met the others.  Before, the version that it saw first
-may be that of its own target, which came to replace theirs."""
-MOST_CREDIT = 2.0
-"""Requests that an ingress may hold back for the new version."""
+UPDATE_TIMEOUT_S = 1.5
+"""Three times the interval of a coordinator's updates."""
+DISCOVERY_S = 3.0
+"""Time in which a daemon that started connects to the others.  Earlier, the
+first version it sees may be that of its own target, which is to replace
+theirs."""
+MAX_CREDIT = 2.0
+"""Bound on the requests that an ingress may owe to the new version."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Release:
-    """A release as this daemon knows it.
+    """A release as known to this daemon.
 
-    :param heard: when the coordinator's last update came.
+    :param heard: when the coordinator's last update arrived.
     :param started: when the order was given, by this process's clock.
-    :param credit: requests that may go to the new version.
+    :param credit: number of requests that may go to the new version.
     """
 
     state: release.ReleaseState
@@ -48,74 +49,83 @@
 
 
 class ReleaseSplit:
-    """The releases that one daemon knows, by service."""
+    """The releases known to one daemon, by service."""
 
     def __init__(self) -> None:
         self.releases: dict[str, _Release] = {}
         self.started: float | None = None
-        self.first_version: dict[str, str] = {}
+        self.first_version_by_service: dict[str, str] = {}
 
     def offer(self, state: release.ReleaseState, now: float) -> bool:
-        """Take a coordinator's update; return whether it is news."""
+        """Apply a coordinator's update; return whether it was newer."""
         service = state.order.service
-        known = self.releases.get(service)
-        before = known.state if known is not None else None
+        known_release = self.releases.get(service)
+        before = known_release.state if known_release is not None else None
         if not state.supersedes(before):
             return False
-        if known is None or before is None or before.order != state.order:
+        if (
+            known_release is None
+            or before is None
+            or before.order != state.order
+        ):
             started = now - state.elapsed_s
             self.releases[service] = _Release(state, now, started)
             return True
-        known.state = state
-        known.heard = now
+        known_release.state = state
+        known_release.heard = now
         return True
 
     def banned(self, order: release.ReleaseOrder) -> tuple[str, ...]:
-        """Return the versions that a new order leaves without work.
+        """Return the versions that get no requests under a new order.
 
-        What was rolled back, or was not yet judged, is not to get the
-        share of the old version.
+        A version that was rolled back, or whose release did not complete,
+        must not get the old version's share.
         """
         state = self.state(order.service)
         if state is None or state.order.revision >= order.revision:
             return state.banned if state is not None else ()
-        found = set(state.banned)
+        versions = set(state.banned)
         if state.stage is not release.Stage.COMPLETED:
-            found.add(state.order.version)
-        return tuple(sorted(found - {order.version}))
+            versions.add(state.order.version)
+        return tuple(sorted(versions - {order.version}))
 
     def state(self, service: str) -> release.ReleaseState | None:
-        known = self.releases.get(service)
-        return known.state if known is not None else None
+        known_release = self.releases.get(service)
+        return known_release.state if known_release is not None else None
 
-    def heard_at(self, service: str) -> float:
-        known = self.releases.get(service)
-        return known.heard if known is not None else 0.0
+    def last_update_at(self, service: str) -> float:
+        known_release = self.releases.get(service)
+        return known_release.heard if known_release is not None else 0.0
 
     def takes_canary(self, service: str, now: float) -> bool:
-        """Whether the next request goes to the new version; takes credit."""
-        known = self.releases.get(service)
-        if known is None or known.state.stage.is_final:
+        """Whether the next request goes to the new version; spends credit."""
+        known_release = self.releases.get(service)
+        if known_release is None or known_release.state.stage.is_final:
             return False
-        if known.state.stage is release.Stage.DRAIN:
+        if known_release.state.stage is release.Stage.DRAIN:
             return True
-        if known.credit < 1 or now - known.heard > HOLD_S:
+        if (
+            known_release.credit < 1
+            or now - known_release.heard > UPDATE_TIMEOUT_S
+        ):
             return False
-        known.credit -= 1
+        known_release.credit -= 1
         return True
 
     def ran(self, service: str, version: str) -> None:
-        """Note that a target of `version` ran a request of this ingress."""
-        known = self.releases.get(service)
-        if known is None or known.state.stage.is_final:
+        """Record that a target of `version` ran a request of this ingress."""
+        known_release = self.releases.get(service)
+        if known_release is None or known_release.state.stage.is_final:
             return
-        if version != known.state.order.version:
-            share = min(0.99, known.state.share)
+        if version != known_release.state.order.version:
+            share = min(0.99, known_release.state.share)
             earned = share / (1 - share)
-            known.credit = min(MOST_CREDIT, known.credit + earned)
+            known_release.credit = min(
+                MAX_CREDIT, known_release.credit + earned
+            )
 
-    def refuses(self, service: str, version: str) -> bool:
-        """Whether a guard gives its target, of `version`, nothing new."""
+    def refuses_new_work(self, service: str, version: str) -> bool:
+        """Whether a guard withholds new work from its target of `version`."""
         state = self.state(service)
         if state is None:
             return False
@@ -129,54 +139,80 @@
     def allowed(
         self,
         service: str,
-        known: Collection[targetstate.Candidate],
+        candidates: Collection[targetstate.Candidate],
         new: bool,
         now: float,
     ) -> list[targetstate.Candidate]:
-        """Return the targets that a request may go to.
+        """Return the targets that a request may be sent to.
 
         :param new: whether the request is for the new version.
         """
         state = self.state(service)
         if state is None:
-            return self._of_first_version(service, known, now)
+            return self._targets_of_first_version(service, candidates, now)
         version = state.order.version
         stage = state.stage
         if state.banned:
-            known = [one for one in known if one.version not in state.banned]
+            candidates = [
+                candidate
+                for candidate in candidates
+                if candidate.version not in state.banned
+            ]
         if stage is release.Stage.ROLLED_BACK:
-            return [one for one in known if one.version != version]
+            return [
+                candidate
+                for candidate in candidates
+                if candidate.version != version
+            ]
         if stage >= release.Stage.DRAIN:
-            return [one for one in known if one.version == version]
+            return [
+                candidate
+                for candidate in candidates
+                if candidate.version == version
+            ]
         if not new:
-            return [one for one in known if one.version != version]
-        found = [one for one in known if one.version == version]
-        focused = [one for one in found if one.host == state.focus]
-        return focused or found
-
-    def _of_first_version(
+            return [
+                candidate
+                for candidate in candidates
+                if candidate.version != version
+            ]
+        new_targets = [
+            candidate
+            for candidate in candidates
+            if candidate.version == version
+        ]
+        focused = [
+            candidate
+            for candidate in new_targets
+            if candidate.host == state.focus
+        ]
+        return focused or new_targets
+
+    def _targets_of_first_version(
         self,
         service: str,
-        known: Collection[targetstate.Candidate],
+        candidates: Collection[targetstate.Candidate],
         now: float,
     ) -> list[targetstate.Candidate]:
-        first = self.first_version.get(service)
-        found = [one for one in known if one.version == first]
-        if any(one.ready for one in found):
-            return found
-        ready = [one for one in known if one.ready]
+        first = self.first_version_by_service.get(service)
+        targets = [
+            candidate for candidate in candidates if candidate.version == first
+        ]
+        if any(candidate.ready for candidate in targets):
+            return targets
+        ready = [candidate for candidate in candidates if candidate.ready]
         if not ready:
-            return found
-        first = _commonest(ready)
+            return targets
+        first = _most_common_version(ready)
         if self.started is None:
             self.started = now
-        if now - self.started >= SETTLED_S:
-            self.first_version[service] = first
-        return [one for one in ready if one.version == first]
+        if now - self.started >= DISCOVERY_S:
+            self.first_version_by_service[service] = first
+        return [candidate for candidate in ready if candidate.version == first]
 
 
-def _commonest(ready: Collection[targetstate.Candidate]) -> str:
+def _most_common_version(ready: Collection[targetstate.Candidate]) -> str:
     counts: dict[str, int] = {}
-    for one in ready:
-        counts[one.version] = counts.get(one.version, 0) + 1
+    for candidate in ready:
+        counts[candidate.version] = counts.get(candidate.version, 0) + 1
     return max(sorted(counts), key=counts.__getitem__)
--- a/src/peridotpost/decisions/verdict.py
+++ b/src/peridotpost/decisions/verdict.py
@@ -1,17 +1,17 @@
-"""Whether a new version of a target is bad, by its runs beside the old one's.
+"""Detects a bad version by comparing its runs with those of the old one.
 
-Load pattern: a new version fails a part of its requests, or takes several
-times as long for them: at once, after a while, under load, or on one route.
-The old version fails some too, since calls behind it fail, and its run times
-spread by a factor of five, so neither is judged by a fixed bound.  Routes are
-judged apart: pooled, a route that fails half of a tenth of the requests hides
-behind the others.
+Load pattern: a new version fails part of its requests, or takes several times
+as long for them: from the start, after a while, under load, or on one route
+only.  The old version fails some requests too, since downstream calls fail,
+and its run times vary by a factor of five, so fixed bounds don't work for
+either.  Routes are evaluated separately: in a pooled count, a route with a
+tenth of the requests that fails half of them is masked by the others.
 
 Each route has two cumulative sums (CUSUM: Page, "Continuous inspection
-schemes", Biometrika 41, 1954), of failures and of slow runs, on the log
-likelihood ratio of a share that a good version may show to one that a bad
-version shows.  The sum never falls below zero, so a version that turns bad
-late is found as soon as one that was bad from the start.
+schemes", Biometrika 41, 1954), one of failures and one of slow runs, of the
+log likelihood ratio between the share of a bad version and the share that a
+good version may have.  A sum never falls below zero, so a version that turns
+bad late is detected as quickly as one that is bad from the start.
 """
 
 from collections.abc import Iterable
@@ -21,61 +21,69 @@
 
 from peridotpost.model import release
 
-TIME_FACTOR = 1.5
-FIRST_TIME_S = 0.001
-"""Run times are counted in buckets; each ends at ``TIME_FACTOR`` times the
-end of the one before, the first at ``FIRST_TIME_S``."""
-SLOW_BUCKETS = 3
-"""Runs so many buckets above the old version's median are slow."""
-LEAST_SLOW_S = 0.02
-"""No run is slow that takes less: that is the time of busy processes."""
-THRESHOLD = 8.0
-"""Of a sum, in natural units of the likelihood ratio."""
-LEAST_OLD_RUNS = 30
-USUAL_FAILED = 0.02
-USUAL_SLOW = 0.1
-"""Shares assumed where the old version has run less often."""
+BUCKET_GROWTH_FACTOR = 1.5
+FIRST_BUCKET_END_S = 0.001
+"""Run times are counted in buckets.  The first ends at ``FIRST_BUCKET_END_S``,
+each other one at ``BUCKET_GROWTH_FACTOR`` times the end of its predecessor."""
+SLOW_BUCKETS_ABOVE_MEDIAN = 3
+"""Runs this many buckets or more above the old version's median are slow."""
+MIN_SLOW_S = 0.02
+"""Shorter runs never count as slow: busy processes alone take that long."""
+CUSUM_THRESHOLD = 8.0
+"""Bound on a cumulative sum, in nats of the log likelihood ratio."""
+MIN_OLD_RUNS = 30
+DEFAULT_FAILED_SHARE = 0.02
+DEFAULT_SLOW_SHARE = 0.1
+"""Shares assumed if the old version has fewer than ``MIN_OLD_RUNS`` runs."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Margins:
-    """Above the old version's share: what is good still, and what is bad."""
+    """Bounds on a version's share, relative to the old version's share.
+
+    A good version stays below ``factor`` times the old share plus ``good``;
+    a bad one exceeds that by ``bad``.
+    """
 
     factor: float
     good: float
     bad: float
 
 
-FAILED = Margins(1.25, 0.01, 0.1)
-SLOW = Margins(1.5, 0.03, 0.18)
+FAILED_MARGINS = Margins(1.25, 0.01, 0.1)
+SLOW_MARGINS = Margins(1.5, 0.03, 0.18)
 
 
 def bucket_of(run_s: float) -> int:
-    """Return the bucket that counts a run of so many seconds."""
-    if run_s <= FIRST_TIME_S:
+    """Return the bucket of a run that takes `run_s`."""
+    if run_s <= FIRST_BUCKET_END_S:
         return 0
-    return math.ceil(math.log(run_s / FIRST_TIME_S) / math.log(TIME_FACTOR))
+    return math.ceil(
+        math.log(run_s / FIRST_BUCKET_END_S) / math.log(BUCKET_GROWTH_FACTOR)
+    )
 
 
 @dataclasses.dataclass(slots=True)
-class _Sum:
-    """One cumulative sum, and the counts that went into it."""
+class _Cusum:
+    """A cumulative sum, and the counts that were added to it."""
 
     value: float = 0.0
     bad: int = 0
     runs: int = 0
 
-    def take(self, bad: int, runs: int, usual: float, by: Margins) -> None:
+    def add(
+        self, bad: int, runs: int, baseline_share: float, margins: Margins
+    ) -> None:
         """Add runs, of which `bad` were bad."""
         if runs <= 0:
             return
         self.bad += bad
         self.runs += runs
-        good_share = min(0.8, usual * by.factor + by.good)
-        bad_share = min(0.95, good_share + by.bad)
-        sound = math.log((1 - bad_share) / (1 - good_share))
+        good_share = min(0.8, baseline_share * margins.factor + margins.good)
+        bad_share = min(0.95, good_share + margins.bad)
+        good_gain = math.log((1 - bad_share) / (1 - good_share))
         gain = bad * math.log(bad_share / good_share)
-        gain += (runs - bad) * sound
+        gain += (runs - bad) * good_gain
         self.value = max(0.0, self.value + gain)
 
 
@@ -84,7 +92,8 @@
     """Why a version is bad.
 
     :param measure: ``failed`` or ``slow``.
-    :param share: of the new version's runs; `usual` of the old one's.
+    :param share: share of such runs in the new version.
+    :param usual: the same share in the old version.
     """
 
     route: str
@@ -95,65 +104,74 @@
 
 
 class Verdict:
-    """Judges one release as the reports of its targets come in."""
+    """Evaluates the new version of one release as its runs are reported."""
 
     def __init__(self) -> None:
-        self.sums: dict[tuple[str, str], _Sum] = {}
-        self.taken: dict[str, release.RouteRuns] = {}
+        self.cusums: dict[tuple[str, str], _Cusum] = {}
+        self.counted_by_route: dict[str, release.RouteRuns] = {}
 
     def judge(
         self,
         old: Mapping[str, release.RouteRuns],
         new: Mapping[str, release.RouteRuns],
     ) -> Finding | None:
-        """Take all runs so far; return what is wrong, None if nothing is."""
+        """Evaluate all runs so far; return a finding if they are bad."""
         for route, runs in new.items():
-            usual = old.get(route, release.RouteRuns())
-            fresh = _since(runs, self.taken.get(route))
-            self.taken[route] = _copy(runs)
-            share = _failed_share(usual)
-            self._sum(route, 'failed').take(
-                fresh.failed, fresh.runs, share, FAILED
+            baseline = old.get(route, release.RouteRuns())
+            new_runs = _runs_since(runs, self.counted_by_route.get(route))
+            self.counted_by_route[route] = _copy_runs(runs)
+            failed_share = _failed_share(baseline)
+            self._cusum(route, 'failed').add(
+                new_runs.failed, new_runs.runs, failed_share, FAILED_MARGINS
+            )
+            slow, timed, slow_share = _count_slow(baseline, new_runs)
+            self._cusum(route, 'slow').add(
+                slow, timed, slow_share, SLOW_MARGINS
             )
-            slow, timed, slow_share = _slow(usual, fresh)
-            self._sum(route, 'slow').take(slow, timed, slow_share, SLOW)
-            for measure, found in (('failed', share), ('slow', slow_share)):
-                known = self._sum(route, measure)
-                if known.value >= THRESHOLD:
-                    part = known.bad / known.runs
-                    return Finding(route, measure, part, found, known.runs)
+            for measure, baseline_share in (
+                ('failed', failed_share),
+                ('slow', slow_share),
+            ):
+                cusum = self._cusum(route, measure)
+                if cusum.value >= CUSUM_THRESHOLD:
+                    bad_share = cusum.bad / cusum.runs
+                    return Finding(
+                        route, measure, bad_share, baseline_share, cusum.runs
+                    )
         return None
 
-    def _sum(self, route: str, measure: str) -> _Sum:
-        return self.sums.setdefault((route, measure), _Sum())
+    def _cusum(self, route: str, measure: str) -> _Cusum:
+        return self.cusums.setdefault((route, measure), _Cusum())
 
 
-def pooled(
+def runs_by_route(
     reports: Iterable[release.TargetReport],
 ) -> dict[str, release.RouteRuns]:
     """Add up the runs of several targets, by route."""
     total: dict[str, release.RouteRuns] = {}
     for report in reports:
         for route, runs in report.by_route.items():
-            held = total.setdefault(route, release.RouteRuns())
-            held.runs += runs.runs
-            held.failed += runs.failed
+            route_total = total.setdefault(route, release.RouteRuns())
+            route_total.runs += runs.runs
+            route_total.failed += runs.failed
             for bucket, count in runs.by_time.items():
-                held.by_time[bucket] = held.by_time.get(bucket, 0) + count
+                route_total.by_time[bucket] = (
+                    route_total.by_time.get(bucket, 0) + count
+                )
     return total
 
 
-def _copy(runs: release.RouteRuns) -> release.RouteRuns:
+def _copy_runs(runs: release.RouteRuns) -> release.RouteRuns:
     return release.RouteRuns(runs.runs, runs.failed, dict(runs.by_time))
 
 
-def _since(
+def _runs_since(
     runs: release.RouteRuns, before: release.RouteRuns | None
 ) -> release.RouteRuns:
-    """Return the runs that came since `before`.
+    """Return the runs added since `before`.
 
-    A target whose daemon restarted counts from nothing, so a difference
-    may be negative; that is none.
+    A daemon that restarted counts from zero again, so a difference may be
+    negative; it counts as zero.
     """
     if before is None:
         return runs
@@ -167,25 +185,25 @@
     )
 
 
-def _failed_share(usual: release.RouteRuns) -> float:
-    if usual.runs < LEAST_OLD_RUNS:
-        return USUAL_FAILED
-    return usual.failed / usual.runs
+def _failed_share(baseline: release.RouteRuns) -> float:
+    if baseline.runs < MIN_OLD_RUNS:
+        return DEFAULT_FAILED_SHARE
+    return baseline.failed / baseline.runs
 
 
-def _slow(
-    usual: release.RouteRuns, fresh: release.RouteRuns
+def _count_slow(
+    baseline: release.RouteRuns, new_runs: release.RouteRuns
 ) -> tuple[int, int, float]:
-    """Return slow and timed runs, and the share that is usually slow."""
-    usual_timed = sum(usual.by_time.values())
-    if usual_timed < LEAST_OLD_RUNS:
-        # There is no bound yet to tell slow runs by.
-        return 0, 0, USUAL_SLOW
-    median = _median(usual.by_time, usual_timed)
-    bound = max(median + SLOW_BUCKETS, bucket_of(LEAST_SLOW_S))
-    share = _above(usual.by_time, bound) / usual_timed
-    timed = sum(fresh.by_time.values())
-    return _above(fresh.by_time, bound), timed, share
+    """Return the slow and the timed runs, and the baseline's slow share."""
+    baseline_timed = sum(baseline.by_time.values())
+    if baseline_timed < MIN_OLD_RUNS:
+        # The old version has too few runs to derive a bound.
+        return 0, 0, DEFAULT_SLOW_SHARE
+    median = _median(baseline.by_time, baseline_timed)
+    bound = max(median + SLOW_BUCKETS_ABOVE_MEDIAN, bucket_of(MIN_SLOW_S))
+    share = _count_from(baseline.by_time, bound) / baseline_timed
+    timed = sum(new_runs.by_time.values())
+    return _count_from(new_runs.by_time, bound), timed, share
 
 
 def _median(by_time: Mapping[int, int], timed: int) -> int:
@@ -197,5 +215,5 @@
     return 0
 
 
-def _above(by_time: Mapping[int, int], bound: int) -> int:
+def _count_from(by_time: Mapping[int, int], bound: int) -> int:
     return sum(count for bucket, count in by_time.items() if bucket >= bound)
--- a/src/peridotpost/mesh/releasecoordinator.py
+++ b/src/peridotpost/mesh/releasecoordinator.py
@@ -70,7 +70,7 @@
     def state(self, service: str) -> release.ReleaseState | None:
         """Return the newest state of a service's release."""
 
-    def heard_at(self, service: str) -> float:
+    def last_update_at(self, service: str) -> float:
         """Return when the coordinator's last update came."""
 
     def banned(self, order: release.ReleaseOrder) -> tuple[str, ...]:
@@ -162,7 +162,7 @@
     def _has_coordinator(self) -> bool:
         if self._heard() is None:
             return False
-        heard_at = self.fleet.split.heard_at(self.order.service)
+        heard_at = self.fleet.split.last_update_at(self.order.service)
         return deadlines.now() - heard_at < CLAIM_AGAIN_S
 
     async def _claim_and_lead(self) -> None:
--- a/src/peridotpost/mesh/releases.py
+++ b/src/peridotpost/mesh/releases.py
@@ -167,7 +167,9 @@
         if target is None:
             return
         state = self.split.state(target.service)
-        self.guard.withhold(self.split.refuses(target.service, target.version))
+        self.guard.withhold(
+            self.split.refuses_new_work(target.service, target.version)
+        )
         if state is None:
             return
         is_active = not state.stage.is_final
--- a/testing/releaseload.py
+++ b/testing/releaseload.py
@@ -1,4 +1,4 @@
-"""Runs of two versions of a service's targets, drawn at random."""
+"""Random runs of two versions of a service's targets."""
 
 import dataclasses
 import math
@@ -7,22 +7,23 @@
 from peridotpost.decisions import verdict
 from peridotpost.model import release
 
-SPREAD = 0.7
-"""Of the logarithm of a run's time."""
+LOG_TIME_SIGMA = 0.7
+"""Standard deviation of the logarithm of a run's time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Behaviour:
-    """How a version runs one route.
+    """The behaviour of a version on one route.
 
     :param failing: share of its runs that fail.
     :param slow: share of its runs that take `slow_factor` times as long.
-    :param bad_from_s: when that begins; before, `usual_failing` fail.
-    :param under_load: it only shows when the target is busy.
+    :param bad_from_s: when the fault begins; until then,
+        `baseline_failing` of the runs fail.
+    :param under_load: whether the fault only shows on a busy target.
     """
 
     work_s: float = 0.2
-    usual_failing: float = 0.02
+    baseline_failing: float = 0.02
     failing: float = 0.02
     slow: float = 0.0
     slow_factor: float = 4.0
@@ -30,24 +31,24 @@
     under_load: bool = False
 
     def is_bad(self, at_s: float, busy: bool) -> bool:
-        """Whether what is wrong with the version shows."""
+        """Whether the version's fault shows."""
         return at_s >= self.bad_from_s and (busy or not self.under_load)
 
 
 def run(
     into: release.RouteRuns,
-    how: Behaviour,
+    behaviour: Behaviour,
     at_s: float,
     busy: bool,
     randomness: random.Random,
 ) -> bool:
-    """Count one run; return whether it was failed or slowed by its version."""
-    bad = how.is_bad(at_s, busy)
-    failing = how.failing if bad else how.usual_failing
-    work_s = how.work_s * math.exp(randomness.gauss(0.0, SPREAD))
-    slowed = bad and randomness.random() < how.slow
+    """Add a random run; return whether it failed or was slowed."""
+    bad = behaviour.is_bad(at_s, busy)
+    failing = behaviour.failing if bad else behaviour.baseline_failing
+    work_s = behaviour.work_s * math.exp(randomness.gauss(0.0, LOG_TIME_SIGMA))
+    slowed = bad and randomness.random() < behaviour.slow
     if slowed:
-        work_s *= how.slow_factor
+        work_s *= behaviour.slow_factor
     failed = randomness.random() < failing
     into.runs += 1
     into.failed += failed
--- a/testing/test_releasecoordinator.py
+++ b/testing/test_releasecoordinator.py
@@ -89,9 +89,9 @@
 @pytest.fixture(autouse=True)
 def short_stages(monkeypatch: pytest.MonkeyPatch) -> None:
     for module, name, value in (
-        (releaseplan, 'LEAST_CANARY_S', 0.05),
-        (releaseplan, 'DRAIN_S', 0.9),
-        (releaseplan, 'STEP_S', 0.02),
+        (releaseplan, 'MIN_CANARY_S', 0.05),
+        (releaseplan, 'DRAIN_ALLOWANCE_S', 0.9),
+        (releaseplan, 'SHIFT_STEP_S', 0.02),
         (releasecoordinator, 'TICK_S', 0.02),
         (releasecoordinator, 'RENEW_S', 0.02),
         (releasecoordinator, 'FIRST_CLAIM_S', 0.0),
--- a/testing/test_releaseplan.py
+++ b/testing/test_releaseplan.py
@@ -1,4 +1,4 @@
-"""How a release goes on, judged by the stages that the fleet is told."""
+"""Tests of the stages and shares of a release."""
 
 import pytest
 
@@ -34,14 +34,14 @@
 
 
 def plan_at(
-    seconds: float, seen: releaseplan.FleetView, duration_s: float = 12.0
+    seconds: float, fleet_view: releaseplan.FleetView, duration_s: float = 12.0
 ) -> releaseplan.ReleasePlan:
-    """Return a plan after so long of one view of the fleet."""
+    """Return a plan that saw the same view of the fleet for `seconds`."""
     order = release.ReleaseOrder('bonds', 'v2', duration_s, 10)
     plan = releaseplan.ReleasePlan(order, 0.1, 0.0, 0.0)
     ticks = round(seconds / TICK_S)
     for tick in range(ticks + 1):
-        plan.step(seen, tick * TICK_S)
+        plan.step(fleet_view, tick * TICK_S)
     return plan
 
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ('seen', 'stage'),
+    ('fleet_view', 'stage'),
     [
         pytest.param(
             view(new_runs=5), release.Stage.CANARY, id='too few runs to tell'
@@ -81,14 +81,14 @@
     ],
 )
 def test_what_holds_a_release_up_or_ends_it(
-    seen: releaseplan.FleetView, stage: release.Stage
+    fleet_view: releaseplan.FleetView, stage: release.Stage
 ) -> None:
-    assert plan_at(14.0, seen).stage is stage
+    assert plan_at(14.0, fleet_view).stage is stage
 
 
 def test_a_version_without_a_target_is_given_up() -> None:
-    seen = view(new_hosts=(), new_runs=0)
-    assert plan_at(23.0, seen).stage is release.Stage.ROLLED_BACK
+    fleet_view = view(new_hosts=(), new_runs=0)
+    assert plan_at(23.0, fleet_view).stage is release.Stage.ROLLED_BACK
 
 
 @pytest.mark.parametrize('seconds', [5.0, 9.3, 10.5])
@@ -103,13 +103,13 @@
 
 
 def test_a_deadline_too_short_for_a_verdict_is_missed() -> None:
-    """Completed late costs less than a bad version in all requests."""
+    """Completing late costs less than a bad version serving all requests."""
     assert plan_at(2.0, view(), 1.0).stage is release.Stage.CANARY
     assert plan_at(3.1, view(), 1.0).stage is release.Stage.SHIFT
 
 
 @pytest.mark.parametrize(
-    ('seen', 'is_drained'),
+    ('fleet_view', 'is_drained'),
     [
         pytest.param(view(drained=('a', 'b')), True, id='all end'),
         pytest.param(view(drained=('a',)), False, id='one runs'),
@@ -124,14 +124,14 @@
     ],
 )
 def test_it_completes_when_nothing_runs_on_the_old_version(
-    seen: releaseplan.FleetView, is_drained: bool
+    fleet_view: releaseplan.FleetView, is_drained: bool
 ) -> None:
-    assert plan_at(11.0, view()).is_drained(seen) is is_drained
-    assert not plan_at(5.0, view()).is_drained(seen)
+    assert plan_at(11.0, view()).is_drained(fleet_view) is is_drained
+    assert not plan_at(5.0, view()).is_drained(fleet_view)
 
 
 def test_a_coordinator_that_takes_over_meets_the_fleet_first() -> None:
-    """Just started, it knows no target; the old ones still run requests."""
+    """At first it knows no targets, while old ones still run requests."""
     plan = releaseplan.ReleasePlan(ORDER, 0.1, 0.0, 11.0, release.Stage.DRAIN)
     nobody = releaseplan.FleetView((), (), (), True)
     plan.step(nobody, 11.1)
@@ -142,5 +142,5 @@
 
 def test_the_canary_share_goes_to_one_target_after_the_other() -> None:
     plan = plan_at(0.0, view())
-    seen = [plan.focus(view(), now) for now in (0.5, 1.5, 2.5)]
-    assert seen == ['c', 'd', 'c']
+    focused_hosts = [plan.focus(view(), now) for now in (0.5, 1.5, 2.5)]
+    assert focused_hosts == ['c', 'd', 'c']
--- a/testing/test_releases.py
+++ b/testing/test_releases.py
@@ -22,13 +22,13 @@
 def short_stages(monkeypatch: pytest.MonkeyPatch) -> None:
     """Stages that take a tenth of their time."""
     for name, seconds in (
-        ('LEAST_CANARY_S', 0.3),
-        ('DRAIN_S', 0.2),
-        ('STEP_S', 0.1),
-        ('FOCUS_S', 0.1),
+        ('MIN_CANARY_S', 0.3),
+        ('DRAIN_ALLOWANCE_S', 0.2),
+        ('SHIFT_STEP_S', 0.1),
+        ('FOCUS_INTERVAL_S', 0.1),
     ):
         monkeypatch.setattr(releaseplan, name, seconds)
-    monkeypatch.setattr(releaseplan, 'LEAST_RUNS', 5)
+    monkeypatch.setattr(releaseplan, 'MIN_NEW_RUNS', 5)
     monkeypatch.setattr(releasecoordinator, 'CLAIM_AGAIN_S', 0.8)
 
 
--- a/testing/test_releasesplit.py
+++ b/testing/test_releasesplit.py
@@ -1,4 +1,4 @@
-"""Which version gets a request, while a release is under way and after."""
+"""Tests of which version gets a request, during a release and after it."""
 
 import random
 
@@ -47,12 +47,12 @@
     known: list[targetstate.Candidate] = KNOWN,
     now: float = 100.0,
 ) -> str:
-    found = split.allowed('bonds', known, new, now)
-    return ''.join(one.host for one in found)
+    targets = split.allowed('bonds', known, new, now)
+    return ''.join(candidate.host for candidate in targets)
 
 
 def settled() -> releasesplit.ReleaseSplit:
-    """Return what a daemon knows that met targets of v1 long ago."""
+    """Return the split of a daemon that saw only targets of v1 for long."""
     split = releasesplit.ReleaseSplit()
     assert hosts(split, known=KNOWN[:2], now=0.0) == 'ab'
     assert hosts(split, known=KNOWN[:2], now=50.0) == 'ab'
@@ -60,7 +60,7 @@
 
 
 def test_without_an_order_a_new_version_gets_nothing() -> None:
-    """Its targets start before the order is read; idle, they draw load."""
+    """New targets start idle before the order and would attract requests."""
     many = [*KNOWN, target('d', 'v2'), target('e', 'v2')]
     assert hosts(settled(), known=many) == 'ab'
 
@@ -70,7 +70,7 @@
 
 
 def test_the_host_of_a_new_target_sends_to_the_old_ones() -> None:
-    """Its daemon starts with it and sees its own target first."""
+    """The daemon of a new target's host starts with it and sees it first."""
     split = releasesplit.ReleaseSplit()
     assert hosts(split, known=[KNOWN[2]], now=0.0) == 'c'
     assert hosts(split, now=0.5) == 'ab'
@@ -80,7 +80,7 @@
 def test_the_share_holds_while_ingresses_come_and_go(
     randomness: random.Random,
 ) -> None:
-    """Ingresses restart all the time and forget what they sent."""
+    """Ingresses restart often and lose their counts."""
     fleet = [releasesplit.ReleaseSplit() for _ in range(70)]
     for one in fleet:
         one.offer(state(), 0.0)
@@ -105,7 +105,7 @@
     split.ran('bonds', 'v1')
     assert split.takes_canary('bonds', 1.0)
     split.ran('bonds', 'v1')
-    assert not split.takes_canary('bonds', releasesplit.HOLD_S + 0.1)
+    assert not split.takes_canary('bonds', releasesplit.UPDATE_TIMEOUT_S + 0.1)
 
 
 def test_the_focus_gets_the_canary_share() -> None:
@@ -137,9 +137,9 @@
     split = releasesplit.ReleaseSplit()
     split.offer(state(stage), 0.0)
     assert hosts(split) == served
-    assert split.refuses('bonds', 'v1') is old_refuses
-    assert split.refuses('bonds', 'v2') is new_refuses
-    assert not split.refuses('other', 'v2')
+    assert split.refuses_new_work('bonds', 'v1') is old_refuses
+    assert split.refuses_new_work('bonds', 'v2') is new_refuses
+    assert not split.refuses_new_work('other', 'v2')
 
 
 @pytest.mark.parametrize(
@@ -186,7 +186,7 @@
 
 
 def test_a_version_that_was_not_let_through_stays_without_work() -> None:
-    """A second order comes while the first version is still judged."""
+    """A second order arrives while the first version is still evaluated."""
     split = releasesplit.ReleaseSplit()
     split.offer(state(), 0.0)
     second = release.ReleaseOrder('bonds', 'v3', 12.0, 20)
@@ -194,6 +194,6 @@
     assert banned == ('v2',)
     split.offer(state(order=second, banned=banned), 0.0)
     assert hosts(split, known=[*KNOWN, target('e', 'v3')]) == 'ab'
-    assert split.refuses('bonds', 'v2')
+    assert split.refuses_new_work('bonds', 'v2')
     again = release.ReleaseOrder('bonds', 'v2', 12.0, 30)
     assert split.banned(again) == ('v3',)
--- a/testing/test_verdict.py
+++ b/testing/test_verdict.py
@@ -1,4 +1,4 @@
-"""Which versions are found to be bad, and how soon."""
+"""Tests of which versions are found to be bad, and how soon."""
 
 import random
 
@@ -10,14 +10,14 @@
 
 OLD_RATE = 40
 NEW_RATE = 2
-"""Runs in a tenth of a second, over all targets of a version."""
+"""Runs per tenth of a second over all targets of a version."""
 TRIALS = 60
 
 
 def bad_runs_until_found(
     routes: dict[str, releaseload.Behaviour], seed: int, ticks: int = 120
 ) -> int | None:
-    """Return how many runs a version spoiled; None if it was not found."""
+    """Return the bad runs until detection; None if it is not detected."""
     randomness = random.Random(seed)
     judge = verdict.Verdict()
     old = {route: release.RouteRuns() for route in routes}
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ('how', 'least_found', 'most_spoiled'),
+    ('behaviour', 'least_found', 'most_spoiled'),
     [
         pytest.param(
             releaseload.Behaviour(failing=0.5), 1.0, 50, id='half fail at once'
@@ -60,56 +60,60 @@
     ],
 )
 def test_a_bad_version_is_found_before_it_spoils_many_runs(
-    how: releaseload.Behaviour, least_found: float, most_spoiled: int
+    behaviour: releaseload.Behaviour, least_found: float, most_spoiled: int
 ) -> None:
-    found = [bad_runs_until_found({'r': how}, seed) for seed in range(TRIALS)]
-    spoiled = [one for one in found if one is not None]
-    assert len(spoiled) >= least_found * TRIALS
-    assert max(spoiled) <= most_spoiled
+    counts = [
+        bad_runs_until_found({'r': behaviour}, seed) for seed in range(TRIALS)
+    ]
+    bad_runs = [count for count in counts if count is not None]
+    assert len(bad_runs) >= least_found * TRIALS
+    assert max(bad_runs) <= most_spoiled
 
 
 def test_a_version_that_fails_one_route_is_found() -> None:
-    """One route of three fails half of its runs; pooled that is a sixth."""
+    """One of three routes fails 60 % of its runs, 20 % of all runs."""
     routes = {
         'a': releaseload.Behaviour(),
         'b': releaseload.Behaviour(),
         'c': releaseload.Behaviour(failing=0.6),
     }
-    found = [bad_runs_until_found(routes, seed) for seed in range(TRIALS)]
-    assert sum(one is not None for one in found) >= 0.95 * TRIALS
+    counts = [bad_runs_until_found(routes, seed) for seed in range(TRIALS)]
+    assert sum(count is not None for count in counts) >= 0.95 * TRIALS
 
 
 @pytest.mark.parametrize(
-    'how',
+    'behaviour',
     [
         pytest.param(releaseload.Behaviour(), id='as the old one'),
         pytest.param(releaseload.Behaviour(failing=0.0), id='fails less'),
         pytest.param(releaseload.Behaviour(work_s=0.1), id='faster'),
     ],
 )
-def test_a_good_version_is_let_through(how: releaseload.Behaviour) -> None:
+def test_a_good_version_is_let_through(
+    behaviour: releaseload.Behaviour,
+) -> None:
     for seed in range(TRIALS):
-        assert bad_runs_until_found({'r': how}, seed) is None
+        assert bad_runs_until_found({'r': behaviour}, seed) is None
 
 
 def test_failures_that_the_old_version_shows_too_are_not_the_new_ones() -> (
     None
 ):
-    """Calls behind the service fail, and with them a third of its runs."""
+    """Downstream calls fail, and with them a third of the runs of both."""
     randomness = random.Random(7)
-    how = releaseload.Behaviour(failing=0.33)
+    behaviour = releaseload.Behaviour(failing=0.33)
     judge = verdict.Verdict()
     old, new = release.RouteRuns(), release.RouteRuns()
     for tick in range(120):
         for _ in range(OLD_RATE):
-            releaseload.run(old, how, 0.0, True, randomness)
+            releaseload.run(old, behaviour, 0.0, True, randomness)
         for _ in range(NEW_RATE):
-            releaseload.run(new, how, 0.0, True, randomness)
+            releaseload.run(new, behaviour, 0.0, True, randomness)
         assert judge.judge({'r': old}, {'r': new}) is None, tick
 
 
 def test_a_busy_process_is_not_a_slow_version() -> None:
-    """Runs of 2 ms take 8 on a new target that gets all requests at once."""
+    """Runs of 2 ms take 8 ms on a new target that gets all requests."""
     randomness = random.Random(3)
     judge = verdict.Verdict()
     old, new = release.RouteRuns(), release.RouteRuns()
