--- a/src/peridotpost/decisions/admission.py
+++ b/src/peridotpost/decisions/admission.py
@@ -39,15 +39,15 @@
 from peridotpost.model import config
 
 SERVICE_TIME_WEIGHT = 1 / 8
-FIRST_SERVICE_S = 0.02
+INITIAL_SERVICE_S = 0.02
 OVERLOAD_AFTER_S = 0.1
 OVERLOAD_SERVICE_TIMES = 2
-OVERLOAD_WAITERS_PER_SLOT = 1
+OVERLOAD_QUEUE_PER_SLOT = 1
 RESERVED_SHARE = 0.25
-WAIT_MARGIN = 1.1
+WAIT_SAFETY_FACTOR = 1.1
 """An estimate that fits to the millisecond is wrong half of the time."""
-CLASS_MEMORY_S = 60.0
-RETURN_SPREAD = 0.5
+SHORT_ACTIVITY_WINDOW_S = 60.0
+RETRY_AFTER_JITTER = 0.5
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 30_000
 
@@ -67,7 +67,7 @@
 class ClassState:
     """One work class: what runs, what waits, how long a run takes."""
 
-    service_s: float = FIRST_SERVICE_S
+    service_s: float = INITIAL_SERVICE_S
     running: int = 0
     last_seen: float = -math.inf
     busy_since: float | None = None
@@ -92,7 +92,7 @@
         self.randomness = randomness
         self.classes = {one: ClassState() for one in config.WorkClass}
         self.states = tuple(self.classes.values())
-        self.shares = fairness.Shares()
+        self.shares = fairness.FairShares()
         self.owed = 0.0
         self.owed_at = 0.0
 
@@ -114,20 +114,20 @@
         """Decide on a request; it waits if the step does not name it."""
         state = self.classes[ticket.work_class]
         state.last_seen = now
-        refused = self._hopeless(now)
-        if not self._worth_running(state, ticket, now):
+        refused = self._remove_expired(now)
+        if not self._may_run(state, ticket, now):
             return Step((), (*refused, ticket))
         if not state.queue.size and self._may_start(ticket.work_class, now):
             self._start(ticket, now, self.waiting > 0)
             return Step((ticket,), refused)
         overloaded = self.overloaded(ticket.work_class, now)
-        if not self._can_make_it(ticket, overloaded, now):
+        if not self._can_wait(ticket, overloaded, now):
             return Step((), (*refused, ticket))
         if state.busy_since is None:
             state.busy_since = now
         state.queue.push(ticket)
-        refused += self._shrink(state, overloaded)
-        return Step(self._fill(now), refused)
+        refused += self._trim(state, overloaded)
+        return Step(self._start_waiting(now), refused)
 
     def finish(self, ticket: fairness.Ticket, now: float) -> Step:
         """Give a slot back and decide who gets it."""
@@ -136,13 +136,13 @@
         self.shares.finish(ticket)
         held_s = now - ticket.started
         state.service_s += SERVICE_TIME_WEIGHT * (held_s - state.service_s)
-        refused = self._hopeless(now)
-        return Step(self._fill(now), refused)
+        refused = self._remove_expired(now)
+        return Step(self._start_waiting(now), refused)
 
     def withdraw(self, ticket: fairness.Ticket) -> None:
         """Forget a waiting request whose caller has gone."""
         self.classes[ticket.work_class].queue.remove(ticket)
-        self._note_emptied()
+        self._reset_if_empty()
 
     def overloaded(self, work_class: config.WorkClass, now: float) -> bool:
         """Whether the queue stands instead of passing a burst on."""
@@ -154,16 +154,16 @@
 
     def retry_after_ms(self, now: float) -> int:
         """Return when a caller refused now finds a slot; counts it in."""
-        rate = max(1, self.slots) / self._service_s()
+        rate = max(1, self.slots) / self._mean_service_s()
         passed = now - self.owed_at
         self.owed = max(0.0, self.owed - passed * rate) + 1
         self.owed_at = now
         seconds = (self.waiting + self.owed) / rate
-        seconds *= 1 + RETURN_SPREAD * self.randomness.random()
+        seconds *= 1 + RETRY_AFTER_JITTER * self.randomness.random()
         ms = max(MIN_RETRY_AFTER_MS, round(seconds * 1000))
         return min(MAX_RETRY_AFTER_MS, ms)
 
-    def _service_s(self) -> float:
+    def _mean_service_s(self) -> float:
         """Return the mean time that a slot is held, over the classes."""
         weights = [
             (max(one.running + one.queue.size, 0), one.service_s)
@@ -174,7 +174,7 @@
             return self.classes[SHORT].service_s
         return sum(count * time for count, time in weights) / total
 
-    def _worth_running(
+    def _may_run(
         self, state: ClassState, ticket: fairness.Ticket, now: float
     ) -> bool:
         if now + state.service_s <= ticket.deadline:
@@ -183,7 +183,7 @@
         # the estimate of a target that was slow would else never change.
         return not state.running and now < ticket.deadline
 
-    def _can_make_it(
+    def _can_wait(
         self, ticket: fairness.Ticket, overloaded: bool, now: float
     ) -> bool:
         state = self.classes[ticket.work_class]
@@ -191,13 +191,13 @@
         if not overloaded:
             # Callers take turns, so one with little waiting is not
             # behind all that another one has sent.
-            own = state.queue.waiting_of(ticket.caller)
+            own = state.queue.waiting_count(ticket.caller)
             callers = len(state.queue.by_caller) + (own == 0)
             ahead = min(state.queue.size, own * callers + callers - 1)
-        wait_s = (ahead + 1) * self._service_s() / max(1, self.slots)
-        return now + WAIT_MARGIN * wait_s + state.service_s <= ticket.deadline
+        wait_s = (ahead + 1) * self._mean_service_s() / max(1, self.slots)
+        return now + WAIT_SAFETY_FACTOR * wait_s + state.service_s <= ticket.deadline
 
-    def _hopeless(self, now: float) -> tuple[fairness.Ticket, ...]:
+    def _remove_expired(self, now: float) -> tuple[fairness.Ticket, ...]:
         """Take out those whose run could not end in time any more."""
         if not self.waiting:
             return ()
@@ -210,16 +210,16 @@
         self._drop(found)
         return tuple(found)
 
-    def _shrink(
+    def _trim(
         self, state: ClassState, overloaded: bool
     ) -> tuple[fairness.Ticket, ...]:
         """Have the heaviest flow give way until the queue fits."""
         bound = self.queue
         if overloaded:
-            bound = min(bound, self.slots * OVERLOAD_WAITERS_PER_SLOT)
+            bound = min(bound, self.slots * OVERLOAD_QUEUE_PER_SLOT)
         dropped: list[fairness.Ticket] = []
         while state.queue.size > bound:
-            victim = state.queue.heaviest(oldest=overloaded)
+            victim = state.queue.drop_candidate(oldest=overloaded)
             assert victim is not None
             self._drop([victim])
             dropped.append(victim)
@@ -228,16 +228,16 @@
     def _drop(self, tickets: Iterable[fairness.Ticket]) -> None:
         for ticket in tickets:
             self.classes[ticket.work_class].queue.remove(ticket)
-        self._note_emptied()
+        self._reset_if_empty()
 
-    def _note_emptied(self) -> None:
+    def _reset_if_empty(self) -> None:
         for state in self.states:
             if not state.queue.size:
                 state.busy_since = None
         if not self.waiting:
-            self.shares.settle()
+            self.shares.reset()
 
-    def _fill(self, now: float) -> tuple[fairness.Ticket, ...]:
+    def _start_waiting(self, now: float) -> tuple[fairness.Ticket, ...]:
         if not self.waiting:
             return ()
         started: list[fairness.Ticket] = []
@@ -248,7 +248,7 @@
             assert ticket is not None
             self._start(ticket, now, True)
             started.append(ticket)
-        self._note_emptied()
+        self._reset_if_empty()
         return tuple(started)
 
     def _next_class(self, now: float) -> config.WorkClass | None:
@@ -259,7 +259,7 @@
         ]
         if not ready:
             return None
-        reserved = self._reserved()
+        reserved = self._reserved_slots()
         # Short first among equals: it gives its slot back sooner.
         return min(
             ready,
@@ -274,11 +274,11 @@
             return False
         if work_class is SHORT:
             return True
-        short_seen = now - self.classes[SHORT].last_seen < CLASS_MEMORY_S
-        bound = self.slots - (self._reserved() if short_seen else 0)
+        short_seen = now - self.classes[SHORT].last_seen < SHORT_ACTIVITY_WINDOW_S
+        bound = self.slots - (self._reserved_slots() if short_seen else 0)
         return self.classes[LONG].running < max(1, bound)
 
-    def _reserved(self) -> int:
+    def _reserved_slots(self) -> int:
         if self.slots < 2:
             return 0
         return max(1, int(self.slots * RESERVED_SHARE))
--- a/src/peridotpost/decisions/attempts.py
+++ b/src/peridotpost/decisions/attempts.py
@@ -31,7 +31,7 @@
 
 MAX_REFUSALS = 4
 MAX_BUDGET_REFUSALS = 2
-MIN_REPEAT_S = 0.03
+MIN_RETRY_S = 0.03
 """Less time than this is left: no other target could answer."""
 FAILED_STATUS = 500
 
@@ -79,19 +79,19 @@
         self.runs += 1
         if isinstance(outcome, forwarding.Lost):
             self.lost = outcome.detail
-            return self._repeat_or(Step.GIVE_UP, now)
+            return self._retry_or(Step.GIVE_UP, now)
         if outcome.status < FAILED_STATUS:
             return Step.ANSWER
         self.failed = outcome
         self.repeat = forwarding.Repeat.AFTER_FAILURE
-        return self._repeat_or(Step.ANSWER, now)
+        return self._retry_or(Step.ANSWER, now)
 
     def may_follow(self, now: float) -> bool:
         """Whether another run may follow the one under way."""
         return (
             self.idempotent
             and self.runs + 1 < self.max_attempts
-            and self.deadline - now >= MIN_REPEAT_S
+            and self.deadline - now >= MIN_RETRY_S
         )
 
     def _after_refusal(self, outcome: forwarding.Refused, now: float) -> Step:
@@ -106,21 +106,21 @@
         if self.refusals >= MAX_REFUSALS:
             return Step.GIVE_UP
         if outcome.arrived:
-            return self._repeat_step(now)
+            return self._retry_if_allowed(now)
         return Step.AGAIN
 
-    def _repeat_or(self, otherwise: Step, now: float) -> Step:
+    def _retry_or(self, otherwise: Step, now: float) -> Step:
         """Return `otherwise` unless another run may follow."""
-        if self.idempotent and self._repeat_step(now) is Step.AGAIN:
+        if self.idempotent and self._retry_if_allowed(now) is Step.AGAIN:
             return Step.AGAIN
         return otherwise
 
-    def _repeat_step(self, now: float) -> Step:
+    def _retry_if_allowed(self, now: float) -> Step:
         """Return what follows a dispatch that arrived at a target."""
         if self.repeat is forwarding.Repeat.NONE:
             self.repeat = forwarding.Repeat.AGAIN
         if self.runs >= self.max_attempts:
             return Step.GIVE_UP
-        if self.deadline - now < MIN_REPEAT_S:
+        if self.deadline - now < MIN_RETRY_S:
             return Step.GIVE_UP
         return Step.AGAIN
--- a/src/peridotpost/decisions/budget.py
+++ b/src/peridotpost/decisions/budget.py
@@ -24,15 +24,15 @@
 
 from peridotpost.model import forwarding
 
-SHARE = 0.7
+GUARD_SHARE = 0.7
 """The rest covers targets whose guards restart and forget what they took."""
-FAILED_SHARE = 0.2
-SLICES = 10
+FAILURE_RETRY_SHARE = 0.2
+WINDOW_SLICES = 10
 """Parts of the window; counts leave a tenth of a window late."""
 
 
 @dataclasses.dataclass(slots=True)
-class Slice:
+class WindowSlice:
     """Counts of one part of the window.
 
     :param firsts: arrivals that are no repeats.
@@ -42,7 +42,7 @@
     """
 
     number: int
-    firsts: int = 0
+    first_arrivals: int = 0
     repeats: float = 0.0
     failed: int = 0
     targets: int = 1
@@ -58,8 +58,8 @@
     def __init__(self, ratio: float, extra: float, window_s: float) -> None:
         self.ratio = ratio
         self.extra = extra
-        self.slice_s = window_s / SLICES
-        self.held: collections.deque[Slice] = collections.deque()
+        self.slice_s = window_s / WINDOW_SLICES
+        self.slices: collections.deque[WindowSlice] = collections.deque()
 
     def admits(
         self, repeat: forwarding.Repeat, targets: int, now: float
@@ -70,17 +70,17 @@
         """
         if repeat is forwarding.Repeat.NONE:
             return True
-        current = self._current(now)
+        current = self._current_slice(now)
         # A host that is cut off knows few; its part must not grow by that.
         current.targets = max(current.targets, targets)
-        firsts = sum(one.firsts for one in self.held)
-        most_targets = max(one.targets for one in self.held)
+        firsts = sum(one.first_arrivals for one in self.slices)
+        most_targets = max(one.targets for one in self.slices)
         allowed = self.ratio * firsts + self.extra / most_targets
         if repeat is forwarding.Repeat.AFTER_FAILURE:
-            failed = sum(one.failed for one in self.held)
-            if failed + 1 > FAILED_SHARE * allowed:
+            failed = sum(one.failed for one in self.slices)
+            if failed + 1 > FAILURE_RETRY_SHARE * allowed:
                 return False
-        return sum(one.repeats for one in self.held) + 1 <= SHARE * allowed
+        return sum(one.repeats for one in self.slices) + 1 <= GUARD_SHARE * allowed
 
     def sent(
         self, repeat: forwarding.Repeat, inherited: float, now: float
@@ -89,19 +89,19 @@
 
         :param inherited: what a first arrival counts for, 0 to 1.
         """
-        current = self._current(now)
+        current = self._current_slice(now)
         if repeat is forwarding.Repeat.NONE:
-            current.firsts += 1
+            current.first_arrivals += 1
             current.repeats += inherited
             return
         current.repeats += 1
         current.failed += repeat is forwarding.Repeat.AFTER_FAILURE
 
-    def _current(self, now: float) -> Slice:
+    def _current_slice(self, now: float) -> WindowSlice:
         number = int(now / self.slice_s)
-        held = self.held
+        held = self.slices
         if not held or held[-1].number != number:
-            held.append(Slice(number))
-            while held[0].number <= number - SLICES - 1:
+            held.append(WindowSlice(number))
+            while held[0].number <= number - WINDOW_SLICES - 1:
                 held.popleft()
         return held[-1]
--- a/src/peridotpost/decisions/choice.py
+++ b/src/peridotpost/decisions/choice.py
@@ -28,14 +28,14 @@
 from peridotpost.decisions import tree
 from peridotpost.model import routing
 
-COLD_SHARE = 0.25
+COLD_CAPACITY_SHARE = 0.25
 WARM_UP_S = 10.0
 REPORT_HALF_LIFE_S = 2.0
 """A word that fades sooner sends calls to a target that is still full; one
 that fades later keeps them from one that has recovered.  At forty daemons
 beside a slow target, shares in time: 0.95 at 0.5 s, 0.980 at 2 s, 0.984 at
 4 s, 0.92 without any word."""
-FORGET_AFTER_S = 60.0
+RECORD_TTL_S = 60.0
 FULL = 1.0
 
 
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Report:
+class LoadReport:
     """A guard's word on the load of a target, and when it came."""
 
     load: float
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.outstanding: dict[str, int] = {}
-        self.reports: dict[str, Report] = {}
+        self.reports: dict[str, LoadReport] = {}
         self.cold_until: dict[str, float] = {}
 
     def sent(self, key: str) -> None:
@@ -72,12 +72,12 @@
 
     def report(self, key: str, load: float, now: float) -> None:
         """Note what runs and waits at a target, per slot."""
-        self.reports[key] = Report(load, now)
+        self.reports[key] = LoadReport(load, now)
 
     def load(self, endpoint: routing.Endpoint, now: float) -> float:
         """Return the target's load as a share of what it can bear now."""
         key = key_of(endpoint)
-        share = self._share(endpoint, key, now)
+        share = self._capacity_share(endpoint, key, now)
         own = self.outstanding.get(key, 0) / max(1.0, endpoint.slots * share)
         report = self.reports.get(key)
         if report is None:
@@ -91,27 +91,27 @@
         self.reports = {
             key: report
             for key, report in self.reports.items()
-            if now - report.at < FORGET_AFTER_S
+            if now - report.at < RECORD_TTL_S
         }
         self.cold_until = {
             key: until
             for key, until in self.cold_until.items()
-            if now - until < FORGET_AFTER_S
+            if now - until < RECORD_TTL_S
         }
 
-    def _share(
+    def _capacity_share(
         self, endpoint: routing.Endpoint, key: str, now: float
     ) -> float:
         if endpoint.cold:
             self.cold_until[key] = now
-            return COLD_SHARE
+            return COLD_CAPACITY_SHARE
         since = self.cold_until.get(key)
         if since is None:
             return 1.0
         if now - since >= WARM_UP_S:
             del self.cold_until[key]
             return 1.0
-        return COLD_SHARE + (1 - COLD_SHARE) * (now - since) / WARM_UP_S
+        return COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * (now - since) / WARM_UP_S
 
 
 def choose(
--- a/src/peridotpost/decisions/ejection.py
+++ b/src/peridotpost/decisions/ejection.py
@@ -30,21 +30,21 @@
 
 from peridotpost.model import calls
 
-LOST_IN_A_ROW = 3
+CONSECUTIVE_LOSSES = 3
 FAILURE_SHARE = 0.5
-PEERS_FACTOR = 2.0
-SHARE_WEIGHT = 1 / 8
+PEER_RATIO = 2.0
+EWMA_WEIGHT = 1 / 8
 MAX_EJECTED_SHARE = 0.5
-FIRST_PAUSE_S = 1.0
-MAX_PAUSE_S = 30.0
-FORGET_AFTER_S = 600.0
-PAUSE_SPREAD = 0.25
-ZONE_LOST = 2
-TRIAL_S = 5.0
+INITIAL_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
+RECORD_TTL_S = 600.0
+EJECTION_JITTER = 0.25
+ZONE_UNREACHABLE_HOSTS = 2
+TRIAL_TIMEOUT_S = 5.0
 """A trial whose outcome is not heard within this is given up on."""
 
 
-class Verdict(enum.Enum):
+class CallSignal(enum.Enum):
     """What a call's outcome says about its target."""
 
     GOOD = 'good'
@@ -53,22 +53,22 @@
     """The target took the call, or refused the connection."""
     UNREACHABLE = 'unreachable'
     """Its host's daemon could not be reached."""
-    SILENT = 'silent'
+    NEUTRAL = 'silent'
     """Says nothing: a refusal with good reason."""
 
 
-def verdict_of(outcome: calls.Outcome) -> Verdict:
+def verdict_of(outcome: calls.Outcome) -> CallSignal:
     """Return what `outcome` says about the target it came from."""
     if isinstance(outcome, calls.Answer):
-        return Verdict.FAILED if outcome.status >= 500 else Verdict.GOOD
+        return CallSignal.FAILED if outcome.status >= 500 else CallSignal.GOOD
     if isinstance(outcome, calls.OutcomeUnknown):
-        return Verdict.LOST
+        return CallSignal.LOST
     if outcome.reason is calls.NotRunReason.UNREACHABLE:
-        return Verdict.UNREACHABLE
+        return CallSignal.UNREACHABLE
     if outcome.reason is calls.NotRunReason.TARGET_GONE:
         # Its guard said so: the host and its zone can be reached.
-        return Verdict.LOST
-    return Verdict.SILENT
+        return CallSignal.LOST
+    return CallSignal.NEUTRAL
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -81,20 +81,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Record:
+class TargetRecord:
     """How the latest calls to one target ended."""
 
-    lost_in_a_row: int = 0
-    failed_share: float = 0.0
+    consecutive_losses: int = 0
+    failure_rate: float = 0.0
     ejections: int = 0
     ejected_at: float = 0.0
-    until: float = 0.0
+    ejected_until: float = 0.0
     trial_since: float | None = None
-    noted_at: float = 0.0
+    updated_at: float = 0.0
 
     @property
     def ejected(self) -> bool:
-        return self.until > 0.0
+        return self.ejected_until > 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -102,8 +102,8 @@
     """Hosts of a zone that were unreachable since one was last reached."""
 
     lost: set[str] = dataclasses.field(default_factory=set)
-    until: float = 0.0
-    pauses: int = 0
+    ejected_until: float = 0.0
+    ejections: int = 0
     ejected_at: float = 0.0
 
 
@@ -113,13 +113,13 @@
     def __init__(self, zone: str, randomness: random.Random) -> None:
         self.zone = zone
         self.randomness = randomness
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, TargetRecord] = {}
         self.zones: dict[str, ZoneRecord] = {}
 
     def note(
         self,
         subject: Subject,
-        verdict: Verdict,
+        verdict: CallSignal,
         others: Iterable[str],
         now: float,
     ) -> None:
@@ -129,28 +129,28 @@
             through only when the call failed.
         """
         self._note_zone(subject, verdict, now)
-        if verdict is Verdict.SILENT:
+        if verdict is CallSignal.NEUTRAL:
             record = self.records.get(subject.key)
             if record is not None:
                 record.trial_since = None
             return
         record = self.records.get(subject.key)
         if record is None:
-            if verdict is Verdict.GOOD:
+            if verdict is CallSignal.GOOD:
                 return
-            record = self.records[subject.key] = Record()
-        record.noted_at = now
-        good = verdict is Verdict.GOOD
-        record.failed_share += SHARE_WEIGHT * (
-            (not good) - record.failed_share
+            record = self.records[subject.key] = TargetRecord()
+        record.updated_at = now
+        good = verdict is CallSignal.GOOD
+        record.failure_rate += EWMA_WEIGHT * (
+            (not good) - record.failure_rate
         )
-        lost = verdict in (Verdict.LOST, Verdict.UNREACHABLE)
-        record.lost_in_a_row = record.lost_in_a_row + 1 if lost else 0
+        lost = verdict in (CallSignal.LOST, CallSignal.UNREACHABLE)
+        record.consecutive_losses = record.consecutive_losses + 1 if lost else 0
         if record.ejected:
             self._end_trial(record, good, now)
-        elif self._is_bad(record, others):
+        elif self._should_eject(record, others):
             self._eject(record, now)
-        elif good and record.failed_share < 0.01:
+        elif good and record.failure_rate < 0.01:
             del self.records[subject.key]
 
     def excluded(self, subjects: Iterable[Subject], now: float) -> set[str]:
@@ -158,10 +158,10 @@
         if not self.records and not self.zones:
             return set()
         held = list(subjects)
-        out = [one for one in held if self._is_out(one, now)]
+        out = [one for one in held if self._is_excluded(one, now)]
         most = int(len(held) * MAX_EJECTED_SHARE)
         # The longest out stay out: the latest to fail may be an effect.
-        out.sort(key=self._out_since)
+        out.sort(key=self._excluded_since)
         return {one.key for one in out[:most]}
 
     def trying(self, key: str, now: float) -> None:
@@ -175,73 +175,73 @@
         self.records = {
             key: record
             for key, record in self.records.items()
-            if now - record.noted_at < FORGET_AFTER_S
+            if now - record.updated_at < RECORD_TTL_S
         }
 
-    def _is_bad(self, record: Record, others: Iterable[str]) -> bool:
-        if record.lost_in_a_row >= LOST_IN_A_ROW:
+    def _should_eject(self, record: TargetRecord, others: Iterable[str]) -> bool:
+        if record.consecutive_losses >= CONSECUTIVE_LOSSES:
             return True
-        if record.failed_share < FAILURE_SHARE:
+        if record.failure_rate < FAILURE_SHARE:
             return False
         shares = [
-            self.records[one].failed_share if one in self.records else 0.0
+            self.records[one].failure_rate if one in self.records else 0.0
             for one in others
         ]
         mean = sum(shares) / len(shares) if shares else 1.0
-        return record.failed_share >= PEERS_FACTOR * mean
+        return record.failure_rate >= PEER_RATIO * mean
 
-    def _eject(self, record: Record, now: float) -> None:
+    def _eject(self, record: TargetRecord, now: float) -> None:
         if not record.ejected:
             record.ejected_at = now
-        pause = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(record.ejections, 8))
-        spread = 1 + PAUSE_SPREAD * self.randomness.random()
+        pause = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2 ** min(record.ejections, 8))
+        spread = 1 + EJECTION_JITTER * self.randomness.random()
         record.ejections += 1
-        record.until = now + pause * spread
+        record.ejected_until = now + pause * spread
         record.trial_since = None
 
-    def _end_trial(self, record: Record, good: bool, now: float) -> None:
+    def _end_trial(self, record: TargetRecord, good: bool, now: float) -> None:
         if not good:
             # Calls that were under way when it was ejected end as well.
-            if now >= record.until:
+            if now >= record.ejected_until:
                 self._eject(record, now)
             return
-        if now >= record.until:
-            record.until = 0.0
+        if now >= record.ejected_until:
+            record.ejected_until = 0.0
             record.trial_since = None
-            record.lost_in_a_row = 0
-            record.failed_share = 0.0
+            record.consecutive_losses = 0
+            record.failure_rate = 0.0
 
     def _note_zone(
-        self, subject: Subject, verdict: Verdict, now: float
+        self, subject: Subject, verdict: CallSignal, now: float
     ) -> None:
         zone = subject.availability_zone
         if zone == self.zone:
             return
-        if verdict is not Verdict.UNREACHABLE:
+        if verdict is not CallSignal.UNREACHABLE:
             self.zones.pop(zone, None)
             return
         found = self.zones.setdefault(zone, ZoneRecord())
         found.lost.add(subject.host)
-        if len(found.lost) >= ZONE_LOST and now >= found.until:
-            pause = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(found.pauses, 8))
-            spread = 1 + PAUSE_SPREAD * self.randomness.random()
-            found.pauses += 1
+        if len(found.lost) >= ZONE_UNREACHABLE_HOSTS and now >= found.ejected_until:
+            pause = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2 ** min(found.ejections, 8))
+            spread = 1 + EJECTION_JITTER * self.randomness.random()
+            found.ejections += 1
             found.ejected_at = found.ejected_at or now
-            found.until = now + pause * spread
+            found.ejected_until = now + pause * spread
 
-    def _is_out(self, subject: Subject, now: float) -> bool:
+    def _is_excluded(self, subject: Subject, now: float) -> bool:
         zone = self.zones.get(subject.availability_zone)
-        if zone is not None and now < zone.until:
+        if zone is not None and now < zone.ejected_until:
             return True
         record = self.records.get(subject.key)
         if record is None or not record.ejected:
             return False
-        if now < record.until:
+        if now < record.ejected_until:
             return True
         trial = record.trial_since
-        return trial is not None and now - trial < TRIAL_S
+        return trial is not None and now - trial < TRIAL_TIMEOUT_S
 
-    def _out_since(self, subject: Subject) -> float:
+    def _excluded_since(self, subject: Subject) -> float:
         record = self.records.get(subject.key)
         if record is not None and record.ejected:
             return record.ejected_at
--- a/src/peridotpost/decisions/failures.py
+++ b/src/peridotpost/decisions/failures.py
@@ -8,9 +8,9 @@
 
 import dataclasses
 
-WEIGHT = 1 / 8
+EWMA_WEIGHT = 1 / 8
 HALF_LIFE_S = 3.0
-LEAST = 0.01
+NEGLIGIBLE_RATE = 0.01
 
 
 @dataclasses.dataclass(slots=True)
@@ -26,7 +26,7 @@
     def note(self, failed: bool, now: float) -> None:
         """Take the outcome of one request."""
         faded = self.value(now)
-        self.report(faded + WEIGHT * (float(failed) - faded), now)
+        self.report(faded + EWMA_WEIGHT * (float(failed) - faded), now)
 
     def report(self, share: float, now: float) -> None:
         """Take another one's figure."""
@@ -35,7 +35,7 @@
 
     def value(self, now: float) -> float:
         """Return the share as it has faded by now."""
-        if self.share < LEAST:
+        if self.share < NEGLIGIBLE_RATE:
             return 0.0
         age_s = max(0.0, now - self.at)
         return float(self.share * 0.5 ** (age_s / HALF_LIFE_S))
--- a/src/peridotpost/decisions/fairness.py
+++ b/src/peridotpost/decisions/fairness.py
@@ -47,14 +47,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Shares:
+class FairShares:
     """What each caller was served and each key holds, over all classes."""
 
     served: dict[str, float] = dataclasses.field(default_factory=dict)
     running_keys: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    virtual_now: float = 0.0
+    virtual_clock: float = 0.0
 
     def start(self, ticket: Ticket, contended: bool) -> None:
         """Note that `ticket` runs; charged if others wait meanwhile."""
@@ -62,9 +62,9 @@
         if not contended:
             return
         before = self.virtual_time(ticket.caller)
-        self.virtual_now = max(self.virtual_now, before)
+        self.virtual_clock = max(self.virtual_clock, before)
         if len(self.served) >= MAX_CALLERS:
-            self.settle()
+            self.reset()
         self.served[ticket.caller] = before + 1
 
     def finish(self, ticket: Ticket) -> None:
@@ -74,9 +74,9 @@
 
     def virtual_time(self, caller: str) -> float:
         # A caller that was away must not have saved up a claim.
-        return max(self.served.get(caller, 0.0), self.virtual_now)
+        return max(self.served.get(caller, 0.0), self.virtual_clock)
 
-    def settle(self) -> None:
+    def reset(self) -> None:
         """Make all callers equal again, as nobody waits any more.
 
         Charges are about who waits for whom; kept beyond that they would
@@ -115,11 +115,11 @@
     def tickets(self) -> list[Ticket]:
         return [one for held in self.by_caller.values() for one in held]
 
-    def waiting_of(self, caller: str) -> int:
+    def waiting_count(self, caller: str) -> int:
         return len(self.by_caller.get(caller, ()))
 
     def pop(
-        self, shares: Shares, slots: int, newest_first: bool
+        self, shares: FairShares, slots: int, newest_first: bool
     ) -> Ticket | None:
         """Take out the request to serve next, None when there is none."""
         end = -1 if newest_first else 0
@@ -136,12 +136,12 @@
             ),
         )
         if shares.running_keys[best.key] >= bound:
-            best = self._of_cooler_key(shares, bound, newest_first) or best
+            best = self._first_below_key_limit(shares, bound, newest_first) or best
         self.remove(best)
         return best
 
-    def _of_cooler_key(
-        self, shares: Shares, bound: int, newest_first: bool
+    def _first_below_key_limit(
+        self, shares: FairShares, bound: int, newest_first: bool
     ) -> Ticket | None:
         """Return a request behind the heads whose key is not hot."""
         cool = [
@@ -154,7 +154,7 @@
         pick = max if newest_first else min
         return pick(cool, key=operator.attrgetter('arrived'))
 
-    def heaviest(self, oldest: bool) -> Ticket | None:
+    def drop_candidate(self, oldest: bool) -> Ticket | None:
         """Return the request that gives way when the queue is full.
 
         It belongs to the caller with the most waiting; if most of what
--- a/src/peridotpost/decisions/retry.py
+++ b/src/peridotpost/decisions/retry.py
@@ -26,13 +26,13 @@
 from peridotpost.model import calls
 
 MAX_ATTEMPTS = 3
-BUDGET_SHARE = 0.1
-BUDGET_CAP = 20.0
-MIN_BUDGET_MS = 5
+TOKENS_PER_CALL = 0.1
+MAX_TOKENS = 20.0
+MIN_REMAINING_MS = 5
 SHED_STATUS = 503
 RETRIED_HEADER = 'Peridot-Retried'
 
-ELSEWHERE = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         calls.NotRunReason.FULL,
         calls.NotRunReason.DRAINING,
@@ -49,10 +49,10 @@
 class RetryBudget:
     """Tokens earned by calls and spent by retries."""
 
-    tokens: float = BUDGET_CAP
+    tokens: float = MAX_TOKENS
 
     def earn(self) -> None:
-        self.tokens = min(BUDGET_CAP, self.tokens + BUDGET_SHARE)
+        self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_CALL)
 
     def spend(self) -> bool:
         """Take one token; False when there is none."""
@@ -66,17 +66,17 @@
     outcome: calls.Outcome,
     idempotent: bool,
     attempts: int,
-    budget_ms: float,
+    remaining_ms: float,
 ) -> bool:
     """Whether the rules allow another attempt, the budget aside."""
-    if attempts >= MAX_ATTEMPTS or budget_ms < MIN_BUDGET_MS:
+    if attempts >= MAX_ATTEMPTS or remaining_ms < MIN_REMAINING_MS:
         return False
     if isinstance(outcome, calls.NotRun):
-        return outcome.reason in ELSEWHERE
+        return outcome.reason in RETRYABLE_REASONS
     if not idempotent:
         return False
     if isinstance(outcome, calls.Answer):
-        return was_shed(outcome)
+        return is_shed(outcome)
     return True
 
 
@@ -95,13 +95,13 @@
 
 def marked(outcome: calls.Outcome) -> calls.Outcome:
     """Return `outcome` with the mark that no level above is to retry it."""
-    if not isinstance(outcome, calls.Answer) or not was_shed(outcome):
+    if not isinstance(outcome, calls.Answer) or not is_shed(outcome):
         return outcome
     mark = calls.Header(RETRIED_HEADER, 'yes')
     return dataclasses.replace(outcome, headers=(*outcome.headers, mark))
 
 
-def was_shed(answer: calls.Answer) -> bool:
+def is_shed(answer: calls.Answer) -> bool:
     """Whether the target itself refused, nobody further down."""
     if answer.status != SHED_STATUS:
         return False
--- a/src/peridotpost/decisions/runtimes.py
+++ b/src/peridotpost/decisions/runtimes.py
@@ -18,12 +18,12 @@
 
 import dataclasses
 
-RUN_WEIGHT = 1 / 8
-FIRST_RUN_S = 0.06
+EWMA_WEIGHT = 1 / 8
+DEFAULT_RUN_S = 0.06
 """Taken until something has run: a usual time of the services known."""
-FIRST_RUN_SHARE = 0.3
+INITIAL_RUN_SHARE = 0.3
 """Of the objective, until the route has run."""
-FIRST_DEVIATION_SHARE = 0.5
+INITIAL_DEVIATION_SHARE = 0.5
 """Of the first run's time, as TCP takes it for a first round trip."""
 
 
@@ -37,8 +37,8 @@
     def add(self, held_s: float) -> None:
         """Take a run that held its slot for so long."""
         off_s = abs(held_s - self.mean_s)
-        self.deviation_s += RUN_WEIGHT * (off_s - self.deviation_s)
-        self.mean_s += RUN_WEIGHT * (held_s - self.mean_s)
+        self.deviation_s += EWMA_WEIGHT * (off_s - self.deviation_s)
+        self.mean_s += EWMA_WEIGHT * (held_s - self.mean_s)
 
 
 class RunTimes:
@@ -51,23 +51,23 @@
     """
 
     def __init__(self) -> None:
-        self.mean_s = FIRST_RUN_S
+        self.mean_s = DEFAULT_RUN_S
         self.by_route: dict[str, RunTime] = {}
         self.mean_by_route: dict[str, float] = {}
-        self.guessed_by_route: dict[str, float] = {}
+        self.estimate_by_route: dict[str, float] = {}
 
     def add(self, route: str, held_s: float) -> None:
         """Take a run of a route."""
         known = self.by_route.get(route)
         if known is None:
-            first = FIRST_DEVIATION_SHARE * held_s
+            first = INITIAL_DEVIATION_SHARE * held_s
             known = self.by_route[route] = RunTime(held_s, first)
-            self.guessed_by_route.pop(route, None)
+            self.estimate_by_route.pop(route, None)
         known.add(held_s)
         self.mean_by_route[route] = known.mean_s
-        self.mean_s += RUN_WEIGHT * (held_s - self.mean_s)
+        self.mean_s += EWMA_WEIGHT * (held_s - self.mean_s)
 
-    def came(self, route: str, objective_s: float) -> None:
+    def note_arrival(self, route: str, objective_s: float) -> None:
         """Guess the time of a route that has not run yet.
 
         The largest guess holds: who comes again has less than the route's
@@ -75,21 +75,21 @@
         """
         if route in self.by_route:
             return
-        guess_s = FIRST_RUN_SHARE * objective_s
-        known_s = self.guessed_by_route.get(route, 0.0)
+        guess_s = INITIAL_RUN_SHARE * objective_s
+        known_s = self.estimate_by_route.get(route, 0.0)
         if guess_s > known_s:
-            self.guessed_by_route[route] = guess_s
+            self.estimate_by_route[route] = guess_s
 
     def expected_s(self, route: str) -> float:
         """Return the time of the next run of a route."""
         known_s = self.mean_by_route.get(route)
         if known_s is not None:
             return known_s
-        return self.guessed_by_route.get(route, self.mean_s)
+        return self.estimate_by_route.get(route, self.mean_s)
 
     def deviation_s(self, route: str) -> float:
         """Return by how much runs of a route miss the expectation."""
         known = self.by_route.get(route)
         if known is None:
-            return FIRST_DEVIATION_SHARE * self.expected_s(route)
+            return INITIAL_DEVIATION_SHARE * self.expected_s(route)
         return known.deviation_s
--- a/src/peridotpost/decisions/selection.py
+++ b/src/peridotpost/decisions/selection.py
@@ -39,17 +39,17 @@
 WORTH_CROSSING = 0.8
 FULL = 0.9
 """Load above which a target is taken to have no free slot."""
-MOST_COMPARED = 8
-DRAW_POWER = 3
+MAX_COMPARED = 8
+WEIGHT_EXPONENT = 3
 """A target that takes twice as long gets an eighth of the requests."""
-TRIAL_EVERY = 50
+TRIAL_INTERVAL = 50
 FAILURE_COST_S = 0.5
 """What a failed answer of an idempotent request costs its caller."""
 WRITE_FAILURE_OBJECTIVES = 3.0
 """What a failure costs a request that can't be repeated, in objectives."""
 
 
-class View:
+class ServiceView:
     """The targets of a service as they stand for one choice."""
 
     def __init__(
@@ -63,21 +63,21 @@
         self.route = route
         self.now = now
         self.failure_cost_s = failure_cost_s
-        self.usual_s = targetstate.usual_run_s(self.ready, route)
+        self.typical_run_s = targetstate.typical_run_s(self.ready, route)
 
     def cost_s(self, one: targetstate.Candidate) -> float:
         """Return what a request costs at a target, failures included."""
-        cost_s = one.cost_s(self.route, self.usual_s, self.now)
-        failing = one.failure_share(self.now)
+        cost_s = one.cost_s(self.route, self.typical_run_s, self.now)
+        failing = one.failure_rate(self.now)
         if failing:
-            excess = max(0.0, failing - self.usual_failure_share)
+            excess = max(0.0, failing - self.baseline_failure_rate)
             cost_s += self.failure_cost_s * excess
         return cost_s
 
     @functools.cached_property
-    def usual_failure_share(self) -> float:
+    def baseline_failure_rate(self) -> float:
         """What nearly all targets fail; their lowest fifth ends there."""
-        shares = sorted(one.failure_share(self.now) for one in self.ready)
+        shares = sorted(one.failure_rate(self.now) for one in self.ready)
         return shares[len(shares) // 5]
 
 
@@ -102,43 +102,43 @@
         idempotent: bool = True,
     ) -> targetstate.Candidate | None:
         """Return the best candidate not tried yet, None without one."""
-        view = View(
+        view = ServiceView(
             known, route, now, _failure_cost_s(idempotent, objective_left_s)
         )
         usable = [one for one in view.ready if one.host not in tried]
         if tried:
-            usable = [one for one in usable if self._is_hopeful(one, now)]
+            usable = [one for one in usable if self._may_have_free_slot(one, now)]
         if len(usable) < 2:
             return usable[0] if usable else None
         self.choices += 1
-        if idempotent and self.choices % TRIAL_EVERY == 0:
-            shunned = [one for one in usable if one.failure_share(now) > 0.1]
+        if idempotent and self.choices % TRIAL_INTERVAL == 0:
+            shunned = [one for one in usable if one.failure_rate(now) > 0.1]
             if shunned:
                 return self.randomness.choice(shunned)
-        own = [one for one in usable if self._is_near(one)]
+        own = [one for one in usable if self._in_own_zone(one)]
         if not own:
-            return self._draw(self._some(usable), view)[0]
+            return self._draw(self._sample(usable), view)[0]
         limit_s = OWN_ZONE_SHARE * objective_left_s
         best, cost_s = self._draw(own, view)
-        if len(own) == len(usable) or self._suffices(
+        if len(own) == len(usable) or self._is_sufficient(
             best, cost_s, limit_s, now
         ):
             return best
         best = min(own, key=view.cost_s)
         cost_s = view.cost_s(best)
-        if self._suffices(best, cost_s, limit_s, now):
+        if self._is_sufficient(best, cost_s, limit_s, now):
             return best
         free = [
             one
             for one in usable
-            if not self._is_near(one) and one.load_now(now) < FULL
+            if not self._in_own_zone(one) and one.load_now(now) < FULL
         ]
         if not free:
             return best
-        far, far_s = self._draw(self._some(free), view)
+        far, far_s = self._draw(self._sample(free), view)
         return far if far_s < WORTH_CROSSING * cost_s else best
 
-    def _suffices(
+    def _is_sufficient(
         self,
         one: targetstate.Candidate,
         cost_s: float,
@@ -152,36 +152,36 @@
         self, known: Collection[targetstate.Candidate], route: str, now: float
     ) -> targetstate.Candidate | None:
         """Return who is to take what nobody had a free slot for."""
-        view = View(known, route, now)
+        view = ServiceView(known, route, now)
         if not view.ready:
             return None
         return min(
-            self._some(view.ready), key=lambda one: self._far_cost_s(one, view)
+            self._sample(view.ready), key=lambda one: self._zone_adjusted_cost_s(one, view)
         )
 
-    def _far_cost_s(self, one: targetstate.Candidate, view: View) -> float:
+    def _zone_adjusted_cost_s(self, one: targetstate.Candidate, view: ServiceView) -> float:
         """Return the cost, dearer where it takes a crossing."""
-        if self._is_near(one):
+        if self._in_own_zone(one):
             return WORTH_CROSSING * view.cost_s(one)
         return view.cost_s(one)
 
-    def _is_hopeful(self, one: targetstate.Candidate, now: float) -> bool:
+    def _may_have_free_slot(self, one: targetstate.Candidate, now: float) -> bool:
         """Whether one is worth asking when a first target was full."""
-        return self._is_near(one) or one.load_now(now) < FULL
+        return self._in_own_zone(one) or one.load_now(now) < FULL
 
-    def _is_near(self, one: targetstate.Candidate) -> bool:
+    def _in_own_zone(self, one: targetstate.Candidate) -> bool:
         return one.availability_zone == self.zone
 
-    def _some(
+    def _sample(
         self, usable: list[targetstate.Candidate]
     ) -> list[targetstate.Candidate]:
         """Return a few at random; comparing all costs more than it brings."""
-        if len(usable) <= MOST_COMPARED:
+        if len(usable) <= MAX_COMPARED:
             return usable
-        return self.randomness.sample(usable, MOST_COMPARED)
+        return self.randomness.sample(usable, MAX_COMPARED)
 
     def _draw(
-        self, among: list[targetstate.Candidate], view: View
+        self, among: list[targetstate.Candidate], view: ServiceView
     ) -> tuple[targetstate.Candidate, float]:
         """Draw a target, the faster ones more often; tell its time.
 
@@ -192,7 +192,7 @@
         times = [view.cost_s(one) for one in among]
         if len(among) == 1:
             return among[0], times[0]
-        weights = [one**-DRAW_POWER for one in times]
+        weights = [one**-WEIGHT_EXPONENT for one in times]
         index = self.randomness.choices(range(len(among)), weights)[0]
         return among[index], times[index]
 
--- a/src/peridotpost/decisions/slots.py
+++ b/src/peridotpost/decisions/slots.py
@@ -31,10 +31,10 @@
 MARGIN = 1.5
 """Mean deviations of a route's runs, added where a refusal costs only another
 try."""
-RETURN_SPREAD = 0.5
-MIN_RETURN_S = 0.05
-MAX_RETURN_S = 5.0
-LEAST_RUN_SHARE = 0.5
+RETRY_AFTER_JITTER = 0.5
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 5.0
+MIN_RUN_SHARE = 0.5
 """Of the mean run; a run that has less time left before its deadline is not
 started."""
 LATE_SHARE = 0.25
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(order=True, slots=True)
-class Waiting:
+class QueueEntry:
     """A waiting order; the least one goes first.
 
     :param due: its arrival and the whole objective of its route.
@@ -77,7 +77,7 @@
         self.randomness = randomness
         self.running = 0
         self.running_work_s = 0.0
-        self.waiting: list[Waiting] = []
+        self.waiting: list[QueueEntry] = []
         self.arrivals = 0
         self.times = runtimes.RunTimes()
         self.shares = slotshare.SlotShares()
@@ -94,7 +94,7 @@
         """How long `order` waits if it comes now."""
         if self.running < self.slots:
             return 0.0
-        turn = slotshare.turn_of(order.rank, late, self._objective_s(order))
+        turn = slotshare.precedence_of(order.rank, late, self._objective_s(order))
         slots = max(1, self.slots)
         next_s = self.running_work_s / max(1, self.running)
         work_s = next_s + self._work_ahead_s(order, late)
@@ -104,7 +104,7 @@
     def arrive(self, order: forwarding.Order, now: float) -> Verdict:
         """Decide on an order; it waits if the verdict does not name it."""
         order.received = now
-        self._came(order, now)
+        self._note_arrival(order, now)
         if self.running < self.slots:
             if now >= order.deadline:
                 return Verdict([], [order])
@@ -116,7 +116,7 @@
         if now + wait_s + run_s + margin_s <= order.objective:
             self._wait(order, late=False)
             return Verdict([], [])
-        if order.last and self._takes_late(order, now):
+        if order.last and self._accepts_late(order, now):
             self._wait(order, late=True)
             return Verdict([], [])
         return Verdict([], [order])
@@ -141,12 +141,12 @@
         while self.waiting and self.running < self.slots:
             first = self.waiting.pop(0)
             if not first.order.settled:
-                self._serve(first, now, verdict)
+                self._dispatch(first, now, verdict)
         return verdict
 
     def hopeless_at(self, order: forwarding.Order) -> float:
         """When a waiting order can't make its deadline any more."""
-        return order.deadline - self._least_s(order)
+        return order.deadline - self._min_run_s(order)
 
     def withdraw(self, order: forwarding.Order) -> None:
         """Take out a waiting order."""
@@ -165,18 +165,18 @@
         """When a refused caller should come back, seconds from now."""
         wait_s = self.expected_wait_s(order, now)
         expected = wait_s + self.times.mean_s / 2
-        spread = 1 + RETURN_SPREAD * self.randomness.random()
-        return min(MAX_RETURN_S, max(MIN_RETURN_S, expected * spread))
+        spread = 1 + RETRY_AFTER_JITTER * self.randomness.random()
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, expected * spread))
 
-    def _serve(self, first: Waiting, now: float, verdict: Verdict) -> None:
+    def _dispatch(self, first: QueueEntry, now: float, verdict: Verdict) -> None:
         """Start who is first, or move it back, or refuse it."""
         order = first.order
-        if now + self._least_s(order) > order.deadline:
+        if now + self._min_run_s(order) > order.deadline:
             verdict.refused.append(order)
         elif first.late or self._ends_in_time(order, now):
             self._start(order, now, first.late)
             verdict.started.append(order)
-        elif self._takes_late(order, now):
+        elif self._accepts_late(order, now):
             self._wait(order, late=True)
         else:
             verdict.refused.append(order)
@@ -186,12 +186,12 @@
         order.run_s = self.times.expected_s(order.route)
         self.running += 1
         self.running_work_s += order.run_s
-        turn = slotshare.turn_of(order.rank, late, self._objective_s(order))
+        turn = slotshare.precedence_of(order.rank, late, self._objective_s(order))
         self.shares.started(turn, order.run_s, now)
 
     def _wait(self, order: forwarding.Order, late: bool) -> None:
         self.arrivals += 1
-        entry = Waiting(
+        entry = QueueEntry(
             order.rank,
             late,
             self._due(order),
@@ -201,7 +201,7 @@
         )
         bisect.insort(self.waiting, entry)
 
-    def _takes_late(self, order: forwarding.Order, now: float) -> bool:
+    def _accepts_late(self, order: forwarding.Order, now: float) -> bool:
         """Whether one more may wait that will be late anyhow.
 
         Those get the slots that nobody in time asks for; when there are
@@ -224,10 +224,10 @@
             total_s += one.run_s
         return total_s
 
-    def _came(self, order: forwarding.Order, now: float) -> None:
+    def _note_arrival(self, order: forwarding.Order, now: float) -> None:
         """Note an arrival; the largest objective of a route is its whole."""
         left_s = order.objective - now
-        self.times.came(order.route, left_s)
+        self.times.note_arrival(order.route, left_s)
         if left_s > self.objective_by_route.get(order.route, 0.0):
             self.objective_by_route[order.route] = left_s
 
@@ -241,5 +241,5 @@
     def _ends_in_time(self, order: forwarding.Order, now: float) -> bool:
         return now + self.times.expected_s(order.route) <= order.objective
 
-    def _least_s(self, order: forwarding.Order) -> float:
-        return LEAST_RUN_SHARE * self.times.expected_s(order.route)
+    def _min_run_s(self, order: forwarding.Order) -> float:
+        return MIN_RUN_SHARE * self.times.expected_s(order.route)
--- a/src/peridotpost/decisions/slotshare.py
+++ b/src/peridotpost/decisions/slotshare.py
@@ -15,17 +15,17 @@
 import dataclasses
 import math
 
-MEMORY_S = 1.0
-MOST_SHARE = 0.95
+DECAY_S = 1.0
+MAX_SHARE = 0.95
 """The less urgent are taken to get a twentieth at least, so that their wait
 stays a number and the share can shrink again."""
 
 
-LEAST_OBJECTIVE_S = 0.001
+MIN_OBJECTIVE_S = 0.001
 
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
-class Turn:
+class Precedence:
     """Who goes first: the least one.
 
     :param late: whether the objective will be missed.
@@ -36,30 +36,30 @@
 
     rank: int
     late: bool
-    octave: int = 0
+    objective_exponent: int = 0
 
 
-def turn_of(rank: int, late: bool, objective_s: float) -> Turn:
+def precedence_of(rank: int, late: bool, objective_s: float) -> Precedence:
     """Return the turn of a request that has `objective_s` left."""
     if late:
-        return Turn(rank, late)
-    octave = math.floor(math.log2(max(LEAST_OBJECTIVE_S, objective_s)))
-    return Turn(rank, late, octave)
+        return Precedence(rank, late)
+    octave = math.floor(math.log2(max(MIN_OBJECTIVE_S, objective_s)))
+    return Precedence(rank, late, octave)
 
 
 @dataclasses.dataclass(slots=True)
-class FadingWork:
+class DecayingWork:
     """Seconds of runs started lately."""
 
     work_s: float = 0.0
     at: float = 0.0
 
-    def left_s(self, now: float) -> float:
+    def value_s(self, now: float) -> float:
         age_s = max(0.0, now - self.at)
-        return self.work_s * math.exp(-age_s / MEMORY_S)
+        return self.work_s * math.exp(-age_s / DECAY_S)
 
     def add(self, run_s: float, now: float) -> None:
-        self.work_s = self.left_s(now) + run_s
+        self.work_s = self.value_s(now) + run_s
         self.at = now
 
 
@@ -67,17 +67,17 @@
     """What was started on one target lately."""
 
     def __init__(self) -> None:
-        self.started_by_turn: dict[Turn, FadingWork] = {}
+        self.work_by_precedence: dict[Precedence, DecayingWork] = {}
 
-    def started(self, turn: Turn, run_s: float, now: float) -> None:
+    def started(self, turn: Precedence, run_s: float, now: float) -> None:
         """Note that a run begins which is expected to take `run_s`."""
-        self.started_by_turn.setdefault(turn, FadingWork()).add(run_s, now)
+        self.work_by_precedence.setdefault(turn, DecayingWork()).add(run_s, now)
 
-    def before(self, turn: Turn, slots: int, now: float) -> float:
+    def before(self, turn: Precedence, slots: int, now: float) -> float:
         """Return the part of `slots` that what goes before `turn` takes."""
         work_s = sum(
-            work.left_s(now)
-            for other, work in self.started_by_turn.items()
+            work.value_s(now)
+            for other, work in self.work_by_precedence.items()
             if other < turn
         )
-        return min(MOST_SHARE, work_s / MEMORY_S / max(1, slots))
+        return min(MAX_SHARE, work_s / DECAY_S / max(1, slots))
--- a/src/peridotpost/decisions/targetstate.py
+++ b/src/peridotpost/decisions/targetstate.py
@@ -17,10 +17,10 @@
 from peridotpost.decisions import failures
 
 REPORT_HALF_LIFE_S = 0.5
-FIRST_RUN_S = 0.06
-RUN_WEIGHT = 1 / 32
+DEFAULT_RUN_S = 0.06
+EWMA_WEIGHT = 1 / 32
 """The mean is over routes, whose runs differ by a factor of five."""
-QUEUE_ONSET = 0.7
+QUEUEING_LOAD = 0.7
 """Load from which requests wait, as arrivals are uneven."""
 WAIT_WEIGHT = 2.0
 """Of a wait, beside a run: who joins a queue also holds up those behind."""
@@ -46,10 +46,10 @@
     version: str = ''
     load: float = 0.0
     load_at: float = 0.0
-    run_s: float = FIRST_RUN_S
+    run_s: float = DEFAULT_RUN_S
     outstanding: int = 0
     run_by_route: dict[str, float] = dataclasses.field(default_factory=dict)
-    seen_failures: failures.FailureShare = dataclasses.field(
+    observed_failures: failures.FailureShare = dataclasses.field(
         default_factory=failures.FailureShare
     )
     told_failures: failures.FailureShare = dataclasses.field(
@@ -81,26 +81,26 @@
     def report_run(self, route: str, run_s: float) -> None:
         """Take the guard's word on the time of a route's runs."""
         self.run_by_route[route] = run_s
-        self.run_s += RUN_WEIGHT * (run_s - self.run_s)
+        self.run_s += EWMA_WEIGHT * (run_s - self.run_s)
 
     def replaced(self) -> None:
         """Forget what was learned of the incarnation before."""
-        self.seen_failures.report(0.0, 0.0)
+        self.observed_failures.report(0.0, 0.0)
         self.told_failures.report(0.0, 0.0)
-        self.run_s = FIRST_RUN_S
+        self.run_s = DEFAULT_RUN_S
         self.run_by_route.clear()
 
     def note(self, failed: bool, now: float) -> None:
         """Take the outcome of a request that the target ran."""
-        self.seen_failures.note(failed, now)
+        self.observed_failures.note(failed, now)
 
     def report_failures(self, share: float, now: float) -> None:
         """Take the guard's word on the share of failures."""
         self.told_failures.report(share, now)
 
-    def failure_share(self, now: float) -> float:
+    def failure_rate(self, now: float) -> float:
         return max(
-            self.seen_failures.value(now), self.told_failures.value(now)
+            self.observed_failures.value(now), self.told_failures.value(now)
         )
 
     def load_now(self, now: float) -> float:
@@ -117,12 +117,12 @@
         load = self.load_now(now)
         run_s = self.run_by_route.get(route, usual_s)
         wait_s = 0.0
-        if load > QUEUE_ONSET:
-            wait_s = (load - QUEUE_ONSET) * self.run_s
+        if load > QUEUEING_LOAD:
+            wait_s = (load - QUEUEING_LOAD) * self.run_s
         return run_s + WAIT_WEIGHT * wait_s
 
 
-def usual_run_s(usable: Iterable[Candidate], route: str) -> float:
+def typical_run_s(usable: Iterable[Candidate], route: str) -> float:
     """Return a route's run time as far as it is known anywhere.
 
     A target that joined is judged by it until it told its own; judged by
@@ -132,4 +132,4 @@
     known = [
         one.run_by_route[route] for one in usable if route in one.run_by_route
     ]
-    return sum(known) / len(known) if known else FIRST_RUN_S
+    return sum(known) / len(known) if known else DEFAULT_RUN_S
--- a/testing/gateload.py
+++ b/testing/gateload.py
@@ -23,7 +23,7 @@
 IN_TIME = 'in time'
 LATE = 'late'
 REFUSED = 'refused'
-MAX_SENDINGS = 10
+MAX_ATTEMPTS = 10
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     """What one caller got, and how long after it had asked."""
 
     request: Request
-    word: str
+    outcome: str
     after_s: float
 
 
@@ -92,7 +92,7 @@
 def drive(
     gate: GateUnderTest,
     requests: Iterable[Request],
-    comes_back: Callable[[float], float] | None = None,
+    retry_delay: Callable[[float], float] | None = None,
 ) -> list[Received]:
     """Run all requests to their end and return what callers received.
 
@@ -114,8 +114,8 @@
         for ticket in step.refused:
             one = tickets.pop(ticket)
             received.append(Received(one, REFUSED, now - one.at))
-            if comes_back is not None and one.attempt < MAX_SENDINGS:
-                at = now + comes_back(now)
+            if retry_delay is not None and one.attempt < MAX_ATTEMPTS:
+                at = now + retry_delay(now)
                 again = dataclasses.replace(
                     one, at=at, attempt=one.attempt + 1
                 )
@@ -151,10 +151,10 @@
             getattr(one.request, name) == value for name, value in of.items()
         )
     ]
-    return sum(one.word == word for one in chosen) / len(chosen)
+    return sum(one.outcome == word for one in chosen) / len(chosen)
 
 
 def quantile(received: Iterable[Received], word: str, q: float) -> float:
     """Return the `q` quantile of the time until `word` was received."""
-    times = sorted(one.after_s for one in received if one.word == word)
+    times = sorted(one.after_s for one in received if one.outcome == word)
     return times[min(len(times) - 1, int(q * len(times)))] if times else 0.0
--- a/testing/routeload.py
+++ b/testing/routeload.py
@@ -48,7 +48,7 @@
     work_s: float = WORK_S
     fails_after_s: float | None = None
     unreachable: bool = False
-    ends_at: float = 1e9
+    recovers_at: float = 1e9
 
 
 class Ingress:
@@ -103,12 +103,12 @@
 class Run:
     """What callers received, and which target got how many calls."""
 
-    words: collections.Counter[str]
+    outcomes: collections.Counter[str]
     calls: collections.Counter[str]
     latest: collections.Counter[str]
 
     def share(self, word: str) -> float:
-        return self.words[word] / self.words.total()
+        return self.outcomes[word] / self.outcomes.total()
 
     def share_of(self, number: int) -> float:
         return self.calls[f'h{number}'] / self.calls.total()
@@ -164,16 +164,16 @@
         late = now > call.ticket.deadline + 1e-9
         if isinstance(outcome, calls.NotRun):
             unreachable = outcome.reason is calls.NotRunReason.UNREACHABLE
-            run.words[FAILED if unreachable else REFUSED] += 1
-        elif verdict is ejection.Verdict.GOOD and not late:
-            run.words[GOOD] += 1
+            run.outcomes[FAILED if unreachable else REFUSED] += 1
+        elif verdict is ejection.CallSignal.GOOD and not late:
+            run.outcomes[GOOD] += 1
         else:
-            run.words[FAILED] += 1
+            run.outcomes[FAILED] += 1
 
     def take(step: admission.Step, now: float) -> None:
         for ticket in step.started:
             call = open_calls[ticket]
-            well = now >= call.target.ends_at
+            well = now >= call.target.recovers_at
             takes = WORK_S if well else call.target.work_s
             if call.target.fails_after_s is not None and not well:
                 call.failing = True
@@ -203,7 +203,7 @@
         ingress.ejector.trying(key, now)
         ticket = fairness.Ticket('', '', gateload.SHORT, now, now + DEADLINE_S)
         call = Call(ingress, target, ticket, False)
-        if target.unreachable and now < target.ends_at:
+        if target.unreachable and now < target.recovers_at:
             cut = calls.NotRun(calls.NotRunReason.UNREACHABLE, '')
             end(call, cut, now)
             continue
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -215,10 +215,10 @@
     own = gateload.drive(gate(), requests, lambda now: 0.05)
 
     def served(received: list[gateload.Received]) -> int:
-        return sum(one.word == gateload.IN_TIME for one in received)
+        return sum(one.outcome == gateload.IN_TIME for one in received)
 
     def refused(received: list[gateload.Received]) -> int:
-        return sum(one.word == gateload.REFUSED for one in received)
+        return sum(one.outcome == gateload.REFUSED for one in received)
 
     assert served(by_us) >= 0.99 * len(requests)
     assert served(by_us) >= served(own)
--- a/testing/test_choice.py
+++ b/testing/test_choice.py
@@ -135,7 +135,7 @@
     assert book.load(one, 0.0) == pytest.approx(2.0)
     half_life = choice.REPORT_HALF_LIFE_S
     assert book.load(one, half_life) == pytest.approx(1.0)
-    book.forget(2 * choice.FORGET_AFTER_S)
+    book.forget(2 * choice.RECORD_TTL_S)
     assert not book.reports
 
 
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -10,11 +10,11 @@
 from testing import callpath
 from testing import routeload
 
-UNREACHABLE = ejection.Verdict.UNREACHABLE
-LOST = ejection.Verdict.LOST
-FAILED = ejection.Verdict.FAILED
-GOOD = ejection.Verdict.GOOD
-SILENT = ejection.Verdict.SILENT
+UNREACHABLE = ejection.CallSignal.UNREACHABLE
+LOST = ejection.CallSignal.LOST
+FAILED = ejection.CallSignal.FAILED
+GOOD = ejection.CallSignal.GOOD
+SILENT = ejection.CallSignal.NEUTRAL
 
 
 def targets(count: int = 4, zone: str = 'a') -> list[routeload.FakeTarget]:
@@ -68,7 +68,7 @@
 
 def test_mended_target_comes_back_by_a_trial() -> None:
     held = failing_fast()
-    held[0].ends_at = 1.0
+    held[0].recovers_at = 1.0
     run = routeload.drive(held, routeload.Ingress, seconds=12.0)
     assert run.latest['h0'] / run.latest.total() >= 0.2
 
@@ -94,7 +94,7 @@
         pytest.param([LOST, SILENT] * 3, True, id='lost-among-refusals'),
     ],
 )
-def test_what_ejects(verdicts: list[ejection.Verdict], ejected: bool) -> None:
+def test_what_ejects(verdicts: list[ejection.CallSignal], ejected: bool) -> None:
     one = ejection.Ejector('a', random.Random(1))
     for verdict in verdicts:
         one.note(SERVICE[0], verdict, OTHERS, 0.0)
@@ -122,7 +122,7 @@
     ],
 )
 def test_what_an_outcome_says_of_its_target(
-    outcome: calls.Outcome, verdict: ejection.Verdict
+    outcome: calls.Outcome, verdict: ejection.CallSignal
 ) -> None:
     assert ejection.verdict_of(outcome) is verdict
 
@@ -178,8 +178,8 @@
     for _ in range(3):
         one.note(SERVICE[0], LOST, OTHERS, 0.0)
     one.trying(SERVICE[0].key, 2.0)
-    assert one.excluded(SERVICE, 2.0 + ejection.TRIAL_S - 0.1)
-    assert not one.excluded(SERVICE, 2.0 + ejection.TRIAL_S + 0.1)
+    assert one.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S - 0.1)
+    assert not one.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S + 0.1)
 
 
 def test_zone_is_left_alone_after_two_of_its_hosts_were_unreachable() -> None:
@@ -211,7 +211,7 @@
 def test_records_of_targets_long_gone_are_dropped() -> None:
     one = ejection.Ejector('a', random.Random(1))
     one.note(SERVICE[0], LOST, OTHERS, 0.0)
-    one.forget(2 * ejection.FORGET_AFTER_S)
+    one.forget(2 * ejection.RECORD_TTL_S)
     assert not one.records
 
 
--- a/testing/test_fairness.py
+++ b/testing/test_fairness.py
@@ -73,7 +73,7 @@
 
     The other must not then be served a thousand times in a row.
     """
-    shares = fairness.Shares()
+    shares = fairness.FairShares()
     queue = fairness.FairQueue()
 
     def ticket(caller: str, at: float) -> fairness.Ticket:
--- a/testing/test_retry.py
+++ b/testing/test_retry.py
@@ -32,8 +32,8 @@
         *(
             pytest.param(
                 calls.NotRun(reason, ''),
-                reason in retry.ELSEWHERE,
-                reason in retry.ELSEWHERE,
+                reason in retry.RETRYABLE_REASONS,
+                reason in retry.RETRYABLE_REASONS,
                 id=reason.value,
             )
             for reason in calls.NotRunReason
--- a/testing/test_selection.py
+++ b/testing/test_selection.py
@@ -213,5 +213,5 @@
     for _ in range(10):
         one.note(True, 0.0)
     one.stands('register', 'i-2', 4, True)
-    assert not one.failure_share(0.0)
+    assert not one.failure_rate(0.0)
     assert not one.run_by_route
--- a/testing/test_slots.py
+++ b/testing/test_slots.py
@@ -68,7 +68,7 @@
     expected = queue.expected_wait_s(asked, 0.0)
     assert len(set(told)) > 40
     assert min(told) >= expected
-    assert max(told) <= slots.MAX_RETURN_S
+    assert max(told) <= slots.MAX_RETRY_AFTER_S
 
 
 class Result:
--- a/testing/test_slots_mixed.py
+++ b/testing/test_slots_mixed.py
@@ -176,7 +176,7 @@
 
     def _ends_in_time(self, order: forwarding.Order, now: float) -> bool:
         """Start whatever may end in time, though most such runs do not."""
-        return now + self._least_s(order) <= order.objective
+        return now + self._min_run_s(order) <= order.objective
 
 
 class InOrderOfArrival(slots.SlotQueue):
@@ -247,32 +247,32 @@
 @pytest.mark.parametrize(
     ('turn', 'expected'),
     [
-        pytest.param(slotshare.Turn(0, False), 0.0, id='nothing before'),
-        pytest.param(slotshare.Turn(1, False, -3), 0.0, id='itself left out'),
+        pytest.param(slotshare.Precedence(0, False), 0.0, id='nothing before'),
+        pytest.param(slotshare.Precedence(1, False, -3), 0.0, id='itself left out'),
         pytest.param(
-            slotshare.Turn(1, False, -1), 0.125, id='shorter objective'
+            slotshare.Precedence(1, False, -1), 0.125, id='shorter objective'
         ),
-        pytest.param(slotshare.Turn(1, True), 0.25, id='in time before late'),
-        pytest.param(slotshare.Turn(2, False), 0.5, id='more urgent, late'),
-        pytest.param(slotshare.Turn(9, False), 0.95, id='never all'),
+        pytest.param(slotshare.Precedence(1, True), 0.25, id='in time before late'),
+        pytest.param(slotshare.Precedence(2, False), 0.5, id='more urgent, late'),
+        pytest.param(slotshare.Precedence(9, False), 0.95, id='never all'),
     ],
 )
 def test_the_share_of_the_more_urgent(
-    turn: slotshare.Turn, expected: float
+    turn: slotshare.Precedence, expected: float
 ) -> None:
     shares = slotshare.SlotShares()
-    shares.started(slotshare.Turn(1, False, -3), 0.5, 10.0)
-    shares.started(slotshare.Turn(1, False, -1), 0.5, 10.0)
-    shares.started(slotshare.Turn(1, True), 1.0, 10.0)
-    shares.started(slotshare.Turn(8, False), 5.0, 10.0)
+    shares.started(slotshare.Precedence(1, False, -3), 0.5, 10.0)
+    shares.started(slotshare.Precedence(1, False, -1), 0.5, 10.0)
+    shares.started(slotshare.Precedence(1, True), 1.0, 10.0)
+    shares.started(slotshare.Precedence(8, False), 5.0, 10.0)
     found = shares.before(turn, 4, 10.0)
     assert found == pytest.approx(expected)
 
 
 def test_the_share_fades() -> None:
     shares = slotshare.SlotShares()
-    shares.started(slotshare.Turn(0, False), 2.0, 0.0)
-    later = shares.before(slotshare.Turn(1, False), 4, 3.0)
+    shares.started(slotshare.Precedence(0, False), 2.0, 0.0)
+    later = shares.before(slotshare.Precedence(1, False), 4, 3.0)
     assert 0.0 < later < 0.03
 
 
@@ -324,7 +324,7 @@
     late.objective = 0.01
     late.deadline = 0.1
     assert queue.arrive(late, 0.0).refused == [late]
-    usual_s = runtimes.FIRST_RUN_SHARE * SHEETS.objective_s
+    usual_s = runtimes.INITIAL_RUN_SHARE * SHEETS.objective_s
     assert queue.times.expected_s(late.route) == pytest.approx(usual_s)
 
 
