--- a/src/peridotpost/decisions/__init__.py
+++ b/src/peridotpost/decisions/__init__.py
@@ -1,4 +1,5 @@
-"""Decisions: pure modules without network, clock or global randomness.
+"""Decision logic: pure modules without network, clock or global randomness.
 
-Time comes in as a number of seconds, randomness as a ``random.Random``.
+Callers pass the time as a number of seconds and randomness as a
+``random.Random``.
 """
--- a/src/peridotpost/decisions/admission.py
+++ b/src/peridotpost/decisions/admission.py
@@ -1,33 +1,33 @@
-"""Which request runs on a target now, which waits, which is refused.
-
-Load pattern: a burst or a surge brings more requests than a target has
-slots, each with its own deadline, short reads mixed with long jobs.
-Without a bound the queue grows until every answer comes after its caller
-has given up, and the target spends all its slots on answers that nobody
-waits for.
-
-- A request waits only if its turn can come before its deadline at the
-  present service time; else it is refused at once.  One that waits and can
-  no longer make it is refused the moment that this is known.
-- By the estimate alone a target that was slow would get no call ever
-  again; one at a time runs, whatever the estimate says.
-- While a class's queue empties now and then, it is served in order.
-  When it has not emptied for ``OVERLOAD_AFTER_S`` (and two service times),
-  the newest is served first and at most one request waits for each slot: the
-  oldest of the heaviest flow gives way at once.  In order, all would wait
-  their whole deadline, and any error in the estimate makes all late;
-  newest first, those that are served are served fresh.
-- Long jobs leave a quarter of the slots to short ones, as long as short
-  ones came within ``CLASS_MEMORY_S``; and a class that runs on less than
-  a quarter of the slots is served before the other.
-- A refused caller is told to come back when those refused before it have
-  been served at the present drain rate, with a spread of half: all would
-  otherwise return in the same instant, as the burst that they were.
+"""Admission control for one target: start, queue or refuse each request.
+
+Load pattern: a burst or a surge brings more requests than a target has slots,
+each with its own deadline, short reads mixed with long jobs.  Without a limit
+the queue grows until every answer comes after its caller has given up, and the
+target spends all its slots on answers that nobody waits for.
+
+- A request is queued only if it can be served before its deadline at the
+  current service time; otherwise it is refused at once.  A queued request
+  that can no longer meet its deadline is refused as soon as this is known.
+- By the estimate alone, a target that was slow would never get another call.
+  One request at a time therefore runs regardless of the estimate.
+- While the queue of a class empties now and then, it is served in order.  If
+  it has not emptied for ``OVERLOAD_AFTER_S`` (and two service times), the
+  newest request is served first and at most one request is queued per slot:
+  the oldest request of the heaviest flow is dropped at once.  In order, all
+  requests would wait for their whole deadline, and any error in the estimate
+  would make all of them late.  Newest first, those that are served have waited
+  little.
+- Long jobs leave a quarter of the slots to short requests if one arrived
+  within ``SHORT_ACTIVITY_WINDOW_S``.  A class that uses less than a quarter of
+  the slots is served before the other.
+- A refused caller is told to retry when those refused before it have been
+  served at the current drain rate, with a jitter of half that time.  Otherwise
+  all would return at the same instant, as the burst that they were.
 
 Grounds for the figures: 100 ms is the usual bound between a burst and a
-standing queue (CoDel's interval); a quarter keeps at least one of four
-slots for each class without giving up much; the service time is a moving
-average with TCP's weight of 1/8: eight answers move it most of the way.
+standing queue (CoDel's interval).  A quarter keeps at least one of four slots
+for each class without giving up much.  The service time is a moving average
+with TCP's weight of 1/8, which eight answers move most of the way.
 """
 
 from collections.abc import Iterable
@@ -45,7 +45,7 @@
 OVERLOAD_QUEUE_PER_SLOT = 1
 RESERVED_SHARE = 0.25
 WAIT_SAFETY_FACTOR = 1.1
-"""An estimate that fits to the millisecond is wrong half of the time."""
+"""Without a margin, half of the requests that just fit would be late."""
 SHORT_ACTIVITY_WINDOW_S = 60.0
 RETRY_AFTER_JITTER = 0.5
 MIN_RETRY_AFTER_MS = 50
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """What an event at the gate led to."""
+    """Requests that one event started or refused."""
 
     started: tuple[fairness.Ticket, ...] = ()
     refused: tuple[fairness.Ticket, ...] = ()
@@ -65,7 +65,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ClassState:
-    """One work class: what runs, what waits, how long a run takes."""
+    """Running and queued requests of one work class.
+
+    :param service_s: moving average of the time that a request holds a slot.
+    :param busy_since: time since which the queue has not been empty.
+    """
 
     service_s: float = INITIAL_SERVICE_S
     running: int = 0
@@ -77,11 +81,11 @@
 
 
 class Gate:
-    """Slots and queue of one target.
+    """Admission control with the slots and queues of one target.
 
-    :param slots: requests that the target runs at once.
-    :param queue: requests of one class that may wait for a slot.
-    :param randomness: spreads the times at which the refused come back.
+    :param slots: requests that the target runs concurrently.
+    :param queue: maximum queue length of each work class.
+    :param randomness: source of jitter for the retries of refused callers.
     """
 
     def __init__(
@@ -90,9 +94,12 @@
         self.slots = slots
         self.queue = queue
         self.randomness = randomness
-        self.classes = {one: ClassState() for one in config.WorkClass}
+        self.classes = {
+            work_class: ClassState() for work_class in config.WorkClass
+        }
         self.states = tuple(self.classes.values())
         self.shares = fairness.FairShares()
+        # Refused callers that are expected to retry, at the time `owed_at`.
         self.owed = 0.0
         self.owed_at = 0.0
 
@@ -107,11 +114,14 @@
         return short.queue.size + long.queue.size
 
     def load(self) -> float:
-        """Return what runs and waits, as a share of the slots."""
+        """Return the number of running and queued requests per slot."""
         return (self.running + self.waiting) / max(1, self.slots)
 
     def arrive(self, ticket: fairness.Ticket, now: float) -> Step:
-        """Decide on a request; it waits if the step does not name it."""
+        """Start, queue or refuse a request.
+
+        A request that the result names neither started nor refused is queued.
+        """
         state = self.classes[ticket.work_class]
         state.last_seen = now
         refused = self._remove_expired(now)
@@ -130,7 +140,7 @@
         return Step(self._start_waiting(now), refused)
 
     def finish(self, ticket: fairness.Ticket, now: float) -> Step:
-        """Give a slot back and decide who gets it."""
+        """Free the slot of a request and assign it to queued ones."""
         state = self.classes[ticket.work_class]
         state.running -= 1
         self.shares.finish(ticket)
@@ -140,23 +150,28 @@
         return Step(self._start_waiting(now), refused)
 
     def withdraw(self, ticket: fairness.Ticket) -> None:
-        """Forget a waiting request whose caller has gone."""
+        """Remove a queued request whose caller is gone."""
         self.classes[ticket.work_class].queue.remove(ticket)
         self._reset_if_empty()
 
     def overloaded(self, work_class: config.WorkClass, now: float) -> bool:
-        """Whether the queue stands instead of passing a burst on."""
+        """Whether the class has a standing queue, as opposed to a burst."""
         state = self.classes[work_class]
         if state.busy_since is None:
             return False
-        bound = max(OVERLOAD_AFTER_S, OVERLOAD_SERVICE_TIMES * state.service_s)
-        return now - state.busy_since > bound
+        threshold_s = max(
+            OVERLOAD_AFTER_S, OVERLOAD_SERVICE_TIMES * state.service_s
+        )
+        return now - state.busy_since > threshold_s
 
     def retry_after_ms(self, now: float) -> int:
-        """Return when a caller refused now finds a slot; counts it in."""
+        """Return the time until a caller refused now is likely to get a slot.
+
+        The caller counts as one that will retry.
+        """
         rate = max(1, self.slots) / self._mean_service_s()
-        passed = now - self.owed_at
-        self.owed = max(0.0, self.owed - passed * rate) + 1
+        elapsed_s = now - self.owed_at
+        self.owed = max(0.0, self.owed - elapsed_s * rate) + 1
         self.owed_at = now
         seconds = (self.waiting + self.owed) / rate
         seconds *= 1 + RETRY_AFTER_JITTER * self.randomness.random()
@@ -164,23 +179,24 @@
         return min(MAX_RETRY_AFTER_MS, ms)
 
     def _mean_service_s(self) -> float:
-        """Return the mean time that a slot is held, over the classes."""
+        """Return the mean service time, weighted by requests of a class."""
         weights = [
-            (max(one.running + one.queue.size, 0), one.service_s)
-            for one in self.classes.values()
+            (max(state.running + state.queue.size, 0), state.service_s)
+            for state in self.classes.values()
         ]
         total = sum(count for count, _ in weights)
         if not total:
             return self.classes[SHORT].service_s
-        return sum(count * time for count, time in weights) / total
+        return sum(count * time_s for count, time_s in weights) / total
 
     def _may_run(
         self, state: ClassState, ticket: fairness.Ticket, now: float
     ) -> bool:
         if now + state.service_s <= ticket.deadline:
             return True
-        # By the estimate it will be late; yet one at a time is run, since
-        # the estimate of a target that was slow would else never change.
+        # The estimate says that the answer will be late.  One request at a
+        # time runs nevertheless: the estimate of a target that was slow would
+        # never change otherwise.
         return not state.running and now < ticket.deadline
 
     def _can_wait(
@@ -189,40 +205,43 @@
         state = self.classes[ticket.work_class]
         ahead = 0
         if not overloaded:
-            # Callers take turns, so one with little waiting is not
-            # behind all that another one has sent.
-            own = state.queue.waiting_count(ticket.caller)
-            callers = len(state.queue.by_caller) + (own == 0)
-            ahead = min(state.queue.size, own * callers + callers - 1)
+            # Callers are served in turn, so the request of a caller with few
+            # queued ones is not behind all requests of another caller.
+            own_count = state.queue.waiting_count(ticket.caller)
+            callers = len(state.queue.by_caller) + (own_count == 0)
+            ahead = min(state.queue.size, own_count * callers + callers - 1)
         wait_s = (ahead + 1) * self._mean_service_s() / max(1, self.slots)
-        return now + WAIT_SAFETY_FACTOR * wait_s + state.service_s <= ticket.deadline
+        return (
+            now + WAIT_SAFETY_FACTOR * wait_s + state.service_s
+            <= ticket.deadline
+        )
 
     def _remove_expired(self, now: float) -> tuple[fairness.Ticket, ...]:
-        """Take out those whose run could not end in time any more."""
+        """Remove the queued requests that can't meet their deadline."""
         if not self.waiting:
             return ()
-        found = [
-            one
+        expired = [
+            ticket
             for state in self.states
-            for one in state.queue.tickets()
-            if now + state.service_s > one.deadline
+            for ticket in state.queue.tickets()
+            if now + state.service_s > ticket.deadline
         ]
-        self._drop(found)
-        return tuple(found)
+        self._drop(expired)
+        return tuple(expired)
 
     def _trim(
         self, state: ClassState, overloaded: bool
     ) -> tuple[fairness.Ticket, ...]:
-        """Have the heaviest flow give way until the queue fits."""
-        bound = self.queue
+        """Drop requests of the heaviest flow until the queue fits."""
+        max_size = self.queue
         if overloaded:
-            bound = min(bound, self.slots * OVERLOAD_QUEUE_PER_SLOT)
+            max_size = min(max_size, self.slots * OVERLOAD_QUEUE_PER_SLOT)
         dropped: list[fairness.Ticket] = []
-        while state.queue.size > bound:
-            victim = state.queue.drop_candidate(oldest=overloaded)
-            assert victim is not None
-            self._drop([victim])
-            dropped.append(victim)
+        while state.queue.size > max_size:
+            ticket = state.queue.drop_candidate(oldest=overloaded)
+            assert ticket is not None
+            self._drop([ticket])
+            dropped.append(ticket)
         return tuple(dropped)
 
     def _drop(self, tickets: Iterable[fairness.Ticket]) -> None:
@@ -253,19 +272,19 @@
 
     def _next_class(self, now: float) -> config.WorkClass | None:
         ready = [
-            one
-            for one, state in self.classes.items()
-            if state.queue.size and self._may_start(one, now)
+            work_class
+            for work_class, state in self.classes.items()
+            if state.queue.size and self._may_start(work_class, now)
         ]
         if not ready:
             return None
         reserved = self._reserved_slots()
-        # Short first among equals: it gives its slot back sooner.
+        # On a tie the short class is first: it frees its slot sooner.
         return min(
             ready,
-            key=lambda one: (
-                self.classes[one].running >= reserved,
-                one is LONG,
+            key=lambda work_class: (
+                self.classes[work_class].running >= reserved,
+                work_class is LONG,
             ),
         )
 
@@ -274,9 +293,11 @@
             return False
         if work_class is SHORT:
             return True
-        short_seen = now - self.classes[SHORT].last_seen < SHORT_ACTIVITY_WINDOW_S
-        bound = self.slots - (self._reserved_slots() if short_seen else 0)
-        return self.classes[LONG].running < max(1, bound)
+        short_active = (
+            now - self.classes[SHORT].last_seen < SHORT_ACTIVITY_WINDOW_S
+        )
+        limit = self.slots - (self._reserved_slots() if short_active else 0)
+        return self.classes[LONG].running < max(1, limit)
 
     def _reserved_slots(self) -> int:
         if self.slots < 2:
--- a/src/peridotpost/decisions/attempts.py
+++ b/src/peridotpost/decisions/attempts.py
@@ -1,27 +1,28 @@
-"""What an ingress does after each outcome of a dispatch.
-
-Load pattern: targets refuse when full, fail, lose answers and crash,
-often several at a time, and callers whose request ended badly come again
-by themselves.  Sent again too eagerly a request runs twice or multiplies
-the load that made it fail; given up too early it is lost though another
-target had room.
-
-- A refusal proves that nothing ran: another target is asked, up to
-  ``MAX_REFUSALS`` of them.  Each question costs a way there and back;
-  beyond a few the fleet is full, and the caller is told so sooner.
-- After a run, or what may have been one, only an idempotent request goes
-  to another target, within the route's attempts and the time left.  What
-  arrived at one target is a repeat at the next, whose guard keeps the budget
-  of these (``budget``); when two had none left, no third is asked.
-- An answer that tells of a failure is kept, and is the answer if the repeat
-  brings no other one.
-- A target's own refusal is no run, so it uses up none of the route's
-  attempts; it did arrive there, so the next try is a repeat.
-- A refusal after a lost answer does not make the whole "not run".
-- A run whose host has fallen silent is given up for another target only
-  if that other run may follow.  A busy host is silent for half a second
-  and answers then; given up without a successor the request is lost, and
-  its target's work with it.
+"""Decisions of an ingress after each outcome of a dispatch.
+
+Load pattern: targets refuse requests when full, fail them, lose answers and
+crash, often several at a time, and callers of failed requests retry on their
+own.  A request that is retried too eagerly runs twice or multiplies the load
+that made it fail.  One that is given up too early is lost although another
+target had capacity.
+
+- A refusal proves that the request didn't run.  Another target is tried, up to
+  ``MAX_REFUSALS`` refusals.  Each try costs a round trip; after a few the
+  fleet is most likely full, and the caller learns it sooner.
+- After a run, or a possible run, only an idempotent request is sent to another
+  target, within the route's maximum of attempts and the remaining time.  A
+  request that arrived at one target counts as a retry at the next, whose guard
+  enforces the retry budget (``budget``).  After two refusals for lack of
+  budget no third target is tried.
+- An answer that reports a failure is kept and returned if the retry yields no
+  other answer.
+- A refusal by the target itself is not a run and uses none of the route's
+  attempts.  The request did arrive there, so the next try is a retry.
+- A refusal after a lost answer doesn't prove that the request never ran.
+- A run on a host that has become silent is abandoned for another target only
+  if another run is allowed.  A busy host may be silent for half a second and
+  then answer; abandoned without another run, the request and the target's work
+  would be lost.
 """
 
 import dataclasses
@@ -32,12 +33,12 @@
 MAX_REFUSALS = 4
 MAX_BUDGET_REFUSALS = 2
 MIN_RETRY_S = 0.03
-"""Less time than this is left: no other target could answer."""
+"""With less time left, no other target could answer before the deadline."""
 FAILED_STATUS = 500
 
 
 class Step(enum.Enum):
-    """What comes next."""
+    """What the ingress does next."""
 
     AGAIN = enum.auto()
     ANSWER = enum.auto()
@@ -46,13 +47,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempts:
-    """The dispatches of one request so far.
+    """State of one request's dispatches.
 
     :param arrivals: dispatches that reached a target.
-    :param runs: those that a target ran, or may have run.
+    :param runs: dispatches that a target ran or may have run.
     :param lost: why an answer was lost; empty if none was.
-    :param failed: a target's answer that tells of a failure.
-    :param repeat: what the next dispatch is to the target that it goes to.
+    :param failed: a target's answer that reports a failure.
+    :param repeat: how the next target counts the request: as a first arrival
+        or as a kind of retry.
     """
 
     idempotent: bool
@@ -68,11 +70,11 @@
 
     @property
     def is_last(self) -> bool:
-        """Whether a refusal of the next target ends the request."""
+        """Whether a refusal by the next target ends the request."""
         return self.refusals + 1 >= MAX_REFUSALS
 
     def after(self, outcome: forwarding.Outcome, now: float) -> Step:
-        """Note an outcome; return what comes next."""
+        """Record an outcome and return the next step."""
         if isinstance(outcome, forwarding.Refused):
             return self._after_refusal(outcome, now)
         self.arrivals += 1
@@ -87,7 +89,7 @@
         return self._retry_or(Step.ANSWER, now)
 
     def may_follow(self, now: float) -> bool:
-        """Whether another run may follow the one under way."""
+        """Whether another run is allowed after the one in progress."""
         return (
             self.idempotent
             and self.runs + 1 < self.max_attempts
@@ -110,13 +112,13 @@
         return Step.AGAIN
 
     def _retry_or(self, otherwise: Step, now: float) -> Step:
-        """Return `otherwise` unless another run may follow."""
+        """Return `otherwise` unless the request may run again."""
         if self.idempotent and self._retry_if_allowed(now) is Step.AGAIN:
             return Step.AGAIN
         return otherwise
 
     def _retry_if_allowed(self, now: float) -> Step:
-        """Return what follows a dispatch that arrived at a target."""
+        """Return the next step after a dispatch that arrived at a target."""
         if self.repeat is forwarding.Repeat.NONE:
             self.repeat = forwarding.Repeat.AGAIN
         if self.runs >= self.max_attempts:
--- a/src/peridotpost/decisions/budget.py
+++ b/src/peridotpost/decisions/budget.py
@@ -1,22 +1,22 @@
-"""How many repeated requests one target takes.
-
-Load pattern: targets turn requests away, fail them or lose their answers
-under a surge.  Ingresses send such requests again and so add the load that
-makes the next ones fail; a bound that each of them keeps for itself is far
-from used up where failures are uneven, and adds up with the fleet's size
-where they are not.
-
-Over the whole fleet and in any window, a service gets at most ``ratio`` of
-its requests, and ``extra`` besides, as repeats.  All repeats for a service
-arrive at the guards of its targets, so each guard keeps its part: ``SHARE``
-of ``ratio`` by its own first arrivals, and of one target's part of `extra`.
-
-- A repeat after an answer that tells of a failure takes at most
-  ``FAILED_SHARE``: most of these failures are of calls that the run made,
-  and a repeat makes them all again.
-- Calls of a run that is a repeat are repeats at the service they go to.
-  Nothing tells them from other requests of their host, so each request
-  counts by the share of repeats among the runs of its host's target.
+"""Retry budget of one target.
+
+Load pattern: under a surge, targets refuse requests, fail them or lose their
+answers.  Ingresses retry these and add to the load that makes the next ones
+fail.  A limit that each ingress keeps for itself is far from used up if
+failures are uneven, and grows with the size of the fleet if they are even.
+
+Over the whole fleet and in any window, a service gets at most ``ratio`` of its
+requests, plus ``extra``, as retries.  All retries to a service arrive at the
+guards of its targets.  Each guard therefore enforces its part: ``GUARD_SHARE``
+of the sum of `ratio` times its own first arrivals and one target's part of
+`extra`.
+
+- A retry after an answer that reports a failure uses at most
+  ``FAILURE_RETRY_SHARE``: most of these failures stem from calls that the run
+  made, and a retry makes all of those calls again.
+- Calls made by a retried run are retries for the service that they go to.
+  They can't be told from other requests of their host, so each request counts
+  as the share of retries among the runs of its host's target.
 """
 
 import collections
@@ -25,20 +25,20 @@
 from peridotpost.model import forwarding
 
 GUARD_SHARE = 0.7
-"""The rest covers targets whose guards restart and forget what they took."""
+"""The rest covers guards that restart and lose their counts."""
 FAILURE_RETRY_SHARE = 0.2
 WINDOW_SLICES = 10
-"""Parts of the window; counts leave a tenth of a window late."""
+"""Slices of the sliding window; counts expire up to one slice late."""
 
 
 @dataclasses.dataclass(slots=True)
 class WindowSlice:
-    """Counts of one part of the window.
+    """Counts of one slice of the window.
 
-    :param firsts: arrivals that are no repeats.
-    :param repeats: arrivals that are, and what first arrivals count for.
-    :param failed: repeats after an answer that told of a failure.
-    :param targets: most targets known of the service.
+    :param first_arrivals: requests that are not retries.
+    :param repeats: retries, including the inherited share of first arrivals.
+    :param failed: retries after an answer that reported a failure.
+    :param targets: largest known number of targets of the service.
     """
 
     number: int
@@ -49,10 +49,10 @@
 
 
 class RetryBudget:
-    """The repeats that one target takes.
+    """Limits the retries that one target accepts.
 
-    :param ratio: repeats for each request, over the fleet.
-    :param extra: repeats in a window besides, over the fleet.
+    :param ratio: retries per request, over the fleet.
+    :param extra: additional retries per window, over the fleet.
     """
 
     def __init__(self, ratio: float, extra: float, window_s: float) -> None:
@@ -66,28 +66,32 @@
     ) -> bool:
         """Whether a request may be sent to the target now.
 
-        :param targets: of the service, as far as they are known.
+        :param targets: number of known targets of the service.
         """
         if repeat is forwarding.Repeat.NONE:
             return True
         current = self._current_slice(now)
-        # A host that is cut off knows few; its part must not grow by that.
+        # A partitioned host sees few targets; its part must not grow by that.
         current.targets = max(current.targets, targets)
-        firsts = sum(one.first_arrivals for one in self.slices)
-        most_targets = max(one.targets for one in self.slices)
-        allowed = self.ratio * firsts + self.extra / most_targets
+        first_arrivals = sum(item.first_arrivals for item in self.slices)
+        most_targets = max(item.targets for item in self.slices)
+        allowed = self.ratio * first_arrivals + self.extra / most_targets
         if repeat is forwarding.Repeat.AFTER_FAILURE:
-            failed = sum(one.failed for one in self.slices)
+            failed = sum(item.failed for item in self.slices)
             if failed + 1 > FAILURE_RETRY_SHARE * allowed:
                 return False
-        return sum(one.repeats for one in self.slices) + 1 <= GUARD_SHARE * allowed
+        return (
+            sum(item.repeats for item in self.slices) + 1
+            <= GUARD_SHARE * allowed
+        )
 
     def sent(
         self, repeat: forwarding.Repeat, inherited: float, now: float
     ) -> None:
-        """Count a request that goes to the target.
+        """Count a request that is sent to the target.
 
-        :param inherited: what a first arrival counts for, 0 to 1.
+        :param inherited: share of a retry that a first arrival counts as,
+            0 to 1.
         """
         current = self._current_slice(now)
         if repeat is forwarding.Repeat.NONE:
@@ -99,9 +103,9 @@
 
     def _current_slice(self, now: float) -> WindowSlice:
         number = int(now / self.slice_s)
-        held = self.slices
-        if not held or held[-1].number != number:
-            held.append(WindowSlice(number))
-            while held[0].number <= number - WINDOW_SLICES - 1:
-                held.popleft()
-        return held[-1]
+        slices = self.slices
+        if not slices or slices[-1].number != number:
+            slices.append(WindowSlice(number))
+            while slices[0].number <= number - WINDOW_SLICES - 1:
+                slices.popleft()
+        return slices[-1]
--- a/src/peridotpost/decisions/choice.py
+++ b/src/peridotpost/decisions/choice.py
@@ -1,23 +1,22 @@
-"""To which target a call goes.
-
-Load pattern: many ingress daemons send to the same few targets, some of
-which are slow, cold or far away.  Without a choice by load a slow target
-collects calls until its callers time out; with a choice of the least
-loaded, all daemons rush to the same one.
-
-Two random targets of the caller's own availability zone are compared
-("power of two choices") by the higher of two figures: the calls that this
-daemon has outstanding there, per slot, and the load that the target's
-guard told with its last answer.  The own count alone misses what other
-daemons send; the guard's word alone is old by the time it is used, so it
-fades with a half-life of two seconds.  Load pages of targets, which lag
-or mislead, are not read at all.
-
-A call leaves the zone only when the zone has no target left or the better
-one is full, and then for one that is less loaded.  A cold target counts
-as having a quarter of its slots, and after it has become warm its share
-rises to the whole within ``WARM_UP_S``: caches and pools fill by calls,
-and a target that is idle among loaded ones would get every first pick.
+"""Load balancing of calls over a service's targets.
+
+Load pattern: many ingress daemons send to the same few targets, some of which
+are slow, cold or distant.  Without load balancing a slow target accumulates
+calls until its callers time out; if each daemon picks the least loaded target,
+all of them pick the same one at once.
+
+Two random targets of the caller's own availability zone are compared ("power
+of two choices") by the higher of two figures: this daemon's outstanding calls
+to the target, per slot, and the load that the target's guard reported with its
+last answer.  The local count alone misses the calls of other daemons.  The
+report alone is outdated by the time it is used, so it decays with a half-life
+of two seconds.  Load pages of targets lag or are wrong and are not read.
+
+A call leaves the zone only if the zone has no target left or the better target
+is full, and then only for a less loaded one.  A cold target counts as having a
+quarter of its slots.  Once it is warm, its capacity rises to the full value
+within ``WARM_UP_S``: caches and connection pools fill gradually, and an idle
+target among loaded ones would win every comparison.
 """
 
 from collections.abc import Collection
@@ -31,29 +30,29 @@
 COLD_CAPACITY_SHARE = 0.25
 WARM_UP_S = 10.0
 REPORT_HALF_LIFE_S = 2.0
-"""A word that fades sooner sends calls to a target that is still full; one
-that fades later keeps them from one that has recovered.  At forty daemons
-beside a slow target, shares in time: 0.95 at 0.5 s, 0.980 at 2 s, 0.984 at
-4 s, 0.92 without any word."""
+"""A shorter half-life sends calls to targets that are still full, a longer one
+keeps them away from targets that have recovered.  Share of calls answered in
+time with forty daemons and one slow target: 0.95 at 0.5 s, 0.980 at 2 s, 0.984
+at 4 s, 0.92 without reports."""
 RECORD_TTL_S = 60.0
 FULL = 1.0
 
 
 def key_of(endpoint: routing.Endpoint) -> str:
-    """Return the name by which a target's calls are counted."""
+    """Return the key of a target in load tracking and ejection."""
     return f'{endpoint.host}/{endpoint.name}'
 
 
 @dataclasses.dataclass(slots=True)
 class LoadReport:
-    """A guard's word on the load of a target, and when it came."""
+    """A target's load as its guard reported it at the time `at`."""
 
     load: float
     at: float
 
 
 class LoadBook:
-    """What one daemon knows of the targets' load."""
+    """Load of the targets as known to one daemon."""
 
     def __init__(self) -> None:
         self.outstanding: dict[str, int] = {}
@@ -64,30 +63,30 @@
         self.outstanding[key] = self.outstanding.get(key, 0) + 1
 
     def settled(self, key: str) -> None:
-        left = self.outstanding[key] - 1
-        if left:
-            self.outstanding[key] = left
+        remaining = self.outstanding[key] - 1
+        if remaining:
+            self.outstanding[key] = remaining
         else:
             del self.outstanding[key]
 
     def report(self, key: str, load: float, now: float) -> None:
-        """Note what runs and waits at a target, per slot."""
+        """Store the running and queued requests per slot of a target."""
         self.reports[key] = LoadReport(load, now)
 
     def load(self, endpoint: routing.Endpoint, now: float) -> float:
-        """Return the target's load as a share of what it can bear now."""
+        """Return the target's load as a share of its present capacity."""
         key = key_of(endpoint)
         share = self._capacity_share(endpoint, key, now)
-        own = self.outstanding.get(key, 0) / max(1.0, endpoint.slots * share)
+        local = self.outstanding.get(key, 0) / max(1.0, endpoint.slots * share)
         report = self.reports.get(key)
         if report is None:
-            return own
-        age = max(0.0, now - report.at)
-        faded: float = 0.5 ** (age / REPORT_HALF_LIFE_S)
-        return max(own, report.load * faded / share)
+            return local
+        age_s = max(0.0, now - report.at)
+        decay: float = 0.5 ** (age_s / REPORT_HALF_LIFE_S)
+        return max(local, report.load * decay / share)
 
     def forget(self, now: float) -> None:
-        """Drop what was told of targets that no call went to for long."""
+        """Drop expired reports and warm-up times."""
         self.reports = {
             key: report
             for key, report in self.reports.items()
@@ -111,60 +110,71 @@
         if now - since >= WARM_UP_S:
             del self.cold_until[key]
             return 1.0
-        return COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * (now - since) / WARM_UP_S
+        return (
+            COLD_CAPACITY_SHARE
+            + (1 - COLD_CAPACITY_SHARE) * (now - since) / WARM_UP_S
+        )
 
 
 def choose(
     endpoints: Sequence[routing.Endpoint],
     zone: str,
-    book: LoadBook,
+    loads: LoadBook,
     excluded: Collection[str],
     now: float,
     randomness: random.Random,
 ) -> routing.Endpoint | None:
-    """Return the target for a call, None when none is left.
+    """Return the target for a call, or None if all are excluded.
 
-    :param excluded: keys of targets that refused this call already, or
-        that get no calls at present.
+    :param excluded: keys of targets that already refused this call or are
+        ejected.
     """
-    near: list[routing.Endpoint] = []
-    far: list[routing.Endpoint] = []
-    for one in endpoints:
-        if excluded and key_of(one) in excluded:
+    local: list[routing.Endpoint] = []
+    remote: list[routing.Endpoint] = []
+    for endpoint in endpoints:
+        if excluded and key_of(endpoint) in excluded:
             continue
-        (near if one.availability_zone == zone else far).append(one)
-    best = _better_of_two(near, book, now, randomness)
-    if best is not None and (not far or book.load(best, now) < FULL):
+        (local if endpoint.availability_zone == zone else remote).append(
+            endpoint
+        )
+    best = _better_of_two(local, loads, now, randomness)
+    if best is not None and (not remote or loads.load(best, now) < FULL):
         return best
-    away = _better_of_two(far, book, now, randomness)
-    if best is None or away is None:
-        return best or away
-    return min(best, away, key=lambda one: book.load(one, now))
+    best_remote = _better_of_two(remote, loads, now, randomness)
+    if best is None or best_remote is None:
+        return best or best_remote
+    return min(
+        best, best_remote, key=lambda endpoint: loads.load(endpoint, now)
+    )
 
 
 def _better_of_two(
     endpoints: Sequence[routing.Endpoint],
-    book: LoadBook,
+    loads: LoadBook,
     now: float,
     randomness: random.Random,
 ) -> routing.Endpoint | None:
     count = len(endpoints)
     if count < 2:
         return endpoints[0] if endpoints else None
-    # Two distinct numbers; random.sample takes five times as long.
+    # Draws two distinct indices; random.sample takes five times as long.
     first = int(randomness.random() * count)
     second = int(randomness.random() * (count - 1))
     one = endpoints[first]
     other = endpoints[second + (second >= first)]
-    return one if book.load(one, now) <= book.load(other, now) else other
+    return one if loads.load(one, now) <= loads.load(other, now) else other
 
 
 def choose_for_key(
     endpoints: Sequence[routing.Endpoint], key: str
 ) -> routing.Endpoint | None:
-    """Return the one target that a keyed call goes to, by its key alone."""
+    """Return the target of a keyed call, which depends on its key alone."""
     if not endpoints:
         return None
     return max(
-        endpoints, key=lambda one: (tree.weight(key, key_of(one)), one.host)
+        endpoints,
+        key=lambda endpoint: (
+            tree.weight(key, key_of(endpoint)),
+            endpoint.host,
+        ),
     )
--- a/src/peridotpost/decisions/ejection.py
+++ b/src/peridotpost/decisions/ejection.py
@@ -1,26 +1,27 @@
-"""Which targets get no calls for a while, by how calls to them ended.
-
-Load pattern: a target hangs, is cut off, or answers each call at once
-with an error.  The last is the worst: failing fast it always looks idle,
-so that a choice by load sends it nearly everything ("black hole").
-Health pages lag or mislead, so outcomes alone count.
-
-- Lost calls (unreachable, unknown outcome) in a row, or a share of failed
-  calls (lost, or a status of 500 and above) that is high and twice that
-  of the service's other targets, eject a target.  If all fail alike the
-  fault is not one target's, and moving the calls would mend nothing.
-- At most half of a service's targets are ejected at once, the last ones
-  to fail first: less capacity than half turns one fault into an overload.
-- After a pause, which doubles with each ejection in a row, one trial call
+"""Ejection of targets and zones by the outcomes of calls to them.
+
+Load pattern: a target hangs, is cut off, or answers each call at once with an
+error.  The last case is the worst ("black hole"): a target that fails fast
+always looks idle, so load balancing sends it nearly all calls.  Health pages
+lag or are wrong, so only outcomes count.
+
+- A target is ejected after consecutive lost calls (unreachable or unknown
+  outcome), or if its failure rate (lost calls and statuses from 500) is high
+  and twice that of the service's other targets.  If all targets fail alike,
+  the cause is elsewhere and moving the calls would not help.
+- At most half of a service's targets are ejected at once; targets that failed
+  last stay in use.  With less than half of the capacity a single fault would
+  turn into an overload.
+- After a pause, which doubles with each consecutive ejection, one trial call
   is let through; its outcome decides.
-- When ``ZONE_LOST`` hosts of another availability zone were unreachable
-  in a row, with none reached between, the whole zone gets no calls: each
-  call into a cut zone costs its caller a connection timeout.
-
-Grounds for the figures: three in a row happen by chance once in 10^6 at a
-failure rate of 1%; the share moves by 1/8 for each outcome, so that a half
-needs five or more failures; one second is twice the connection timeout,
-30 s is what a crashed target takes to come back.
+- When ``ZONE_UNREACHABLE_HOSTS`` hosts of another availability zone were
+  unreachable and none was reached in between, the whole zone gets no calls:
+  each call into a partitioned zone costs its caller a connection timeout.
+
+Grounds for the figures: at a failure rate of 1%, three consecutive losses
+happen by chance once in 10^6 calls.  The failure rate moves by 1/8 per
+outcome, so it takes at least five failures to reach a half.  One second is
+twice the connection timeout; a crashed target takes 30 s to come back.
 """
 
 from collections.abc import Iterable
@@ -41,24 +42,24 @@
 EJECTION_JITTER = 0.25
 ZONE_UNREACHABLE_HOSTS = 2
 TRIAL_TIMEOUT_S = 5.0
-"""A trial whose outcome is not heard within this is given up on."""
+"""A trial without an outcome after this time no longer blocks another one."""
 
 
 class CallSignal(enum.Enum):
-    """What a call's outcome says about its target."""
+    """What the outcome of a call says about its target."""
 
     GOOD = 'good'
     FAILED = 'failed'
     LOST = 'lost'
-    """The target took the call, or refused the connection."""
+    """The target took the call without an answer or refused the connection."""
     UNREACHABLE = 'unreachable'
-    """Its host's daemon could not be reached."""
+    """The daemon of the target's host could not be reached."""
     NEUTRAL = 'silent'
-    """Says nothing: a refusal with good reason."""
+    """A legitimate refusal, which says nothing about the target's health."""
 
 
 def verdict_of(outcome: calls.Outcome) -> CallSignal:
-    """Return what `outcome` says about the target it came from."""
+    """Return the signal of `outcome` about the called target."""
     if isinstance(outcome, calls.Answer):
         return CallSignal.FAILED if outcome.status >= 500 else CallSignal.GOOD
     if isinstance(outcome, calls.OutcomeUnknown):
@@ -66,14 +67,14 @@
     if outcome.reason is calls.NotRunReason.UNREACHABLE:
         return CallSignal.UNREACHABLE
     if outcome.reason is calls.NotRunReason.TARGET_GONE:
-        # Its guard said so: the host and its zone can be reached.
+        # Reported by the target's guard, so host and zone are reachable.
         return CallSignal.LOST
     return CallSignal.NEUTRAL
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Subject:
-    """A target as ejection sees it; `key` is the one of ``choice``."""
+    """Identity of a target; `key` is the one that ``choice`` uses."""
 
     key: str
     host: str
@@ -82,7 +83,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetRecord:
-    """How the latest calls to one target ended."""
+    """Recent outcomes and ejections of one target."""
 
     consecutive_losses: int = 0
     failure_rate: float = 0.0
@@ -99,7 +100,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ZoneRecord:
-    """Hosts of a zone that were unreachable since one was last reached."""
+    """Unreachable hosts of a zone since one was last reached."""
 
     lost: set[str] = dataclasses.field(default_factory=set)
     ejected_until: float = 0.0
@@ -108,7 +109,10 @@
 
 
 class Ejector:
-    """One daemon's view; `zone` is its own, which is never ejected whole."""
+    """Ejection state of one daemon.
+
+    :param zone: the daemon's own zone, which is never ejected as a whole.
+    """
 
     def __init__(self, zone: str, randomness: random.Random) -> None:
         self.zone = zone
@@ -123,10 +127,10 @@
         others: Iterable[str],
         now: float,
     ) -> None:
-        """Take in how a call to `subject` ended.
+        """Record the outcome of a call to `subject`.
 
-        :param others: keys of the same service's other targets; gone
-            through only when the call failed.
+        :param others: keys of the same service's other targets; iterated
+            only if the failure rate has to be compared.
         """
         self._note_zone(subject, verdict, now)
         if verdict is CallSignal.NEUTRAL:
@@ -141,11 +145,11 @@
             record = self.records[subject.key] = TargetRecord()
         record.updated_at = now
         good = verdict is CallSignal.GOOD
-        record.failure_rate += EWMA_WEIGHT * (
-            (not good) - record.failure_rate
-        )
+        record.failure_rate += EWMA_WEIGHT * ((not good) - record.failure_rate)
         lost = verdict in (CallSignal.LOST, CallSignal.UNREACHABLE)
-        record.consecutive_losses = record.consecutive_losses + 1 if lost else 0
+        record.consecutive_losses = (
+            record.consecutive_losses + 1 if lost else 0
+        )
         if record.ejected:
             self._end_trial(record, good, now)
         elif self._should_eject(record, others):
@@ -154,54 +158,60 @@
             del self.records[subject.key]
 
     def excluded(self, subjects: Iterable[Subject], now: float) -> set[str]:
-        """Return which of a service's targets get no call now."""
+        """Return the keys of a service's targets that get no calls now."""
         if not self.records and not self.zones:
             return set()
-        held = list(subjects)
-        out = [one for one in held if self._is_excluded(one, now)]
-        most = int(len(held) * MAX_EJECTED_SHARE)
-        # The longest out stay out: the latest to fail may be an effect.
-        out.sort(key=self._excluded_since)
-        return {one.key for one in out[:most]}
+        known = list(subjects)
+        excluded = [
+            subject for subject in known if self._is_excluded(subject, now)
+        ]
+        max_excluded = int(len(known) * MAX_EJECTED_SHARE)
+        # Earlier failures take precedence: later ones may be a consequence.
+        excluded.sort(key=self._excluded_since)
+        return {subject.key for subject in excluded[:max_excluded]}
 
     def trying(self, key: str, now: float) -> None:
-        """Note that a call goes to `key`; the trial, if it was ejected."""
+        """Record a call to `key`, which is a trial if it is ejected."""
         record = self.records.get(key)
         if record is not None and record.ejected:
             record.trial_since = now
 
     def forget(self, now: float) -> None:
-        """Drop targets that no call went to for long, as those gone."""
+        """Drop records without a recent outcome, e.g. of removed targets."""
         self.records = {
             key: record
             for key, record in self.records.items()
             if now - record.updated_at < RECORD_TTL_S
         }
 
-    def _should_eject(self, record: TargetRecord, others: Iterable[str]) -> bool:
+    def _should_eject(
+        self, record: TargetRecord, others: Iterable[str]
+    ) -> bool:
         if record.consecutive_losses >= CONSECUTIVE_LOSSES:
             return True
         if record.failure_rate < FAILURE_SHARE:
             return False
-        shares = [
-            self.records[one].failure_rate if one in self.records else 0.0
-            for one in others
+        rates = [
+            self.records[key].failure_rate if key in self.records else 0.0
+            for key in others
         ]
-        mean = sum(shares) / len(shares) if shares else 1.0
+        mean = sum(rates) / len(rates) if rates else 1.0
         return record.failure_rate >= PEER_RATIO * mean
 
     def _eject(self, record: TargetRecord, now: float) -> None:
         if not record.ejected:
             record.ejected_at = now
-        pause = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2 ** min(record.ejections, 8))
-        spread = 1 + EJECTION_JITTER * self.randomness.random()
+        pause_s = min(
+            MAX_EJECTION_S, INITIAL_EJECTION_S * 2 ** min(record.ejections, 8)
+        )
+        jitter = 1 + EJECTION_JITTER * self.randomness.random()
         record.ejections += 1
-        record.ejected_until = now + pause * spread
+        record.ejected_until = now + pause_s * jitter
         record.trial_since = None
 
     def _end_trial(self, record: TargetRecord, good: bool, now: float) -> None:
         if not good:
-            # Calls that were under way when it was ejected end as well.
+            # Calls in flight at the time of the ejection may end earlier.
             if now >= record.ejected_until:
                 self._eject(record, now)
             return
@@ -220,14 +230,20 @@
         if verdict is not CallSignal.UNREACHABLE:
             self.zones.pop(zone, None)
             return
-        found = self.zones.setdefault(zone, ZoneRecord())
-        found.lost.add(subject.host)
-        if len(found.lost) >= ZONE_UNREACHABLE_HOSTS and now >= found.ejected_until:
-            pause = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2 ** min(found.ejections, 8))
-            spread = 1 + EJECTION_JITTER * self.randomness.random()
-            found.ejections += 1
-            found.ejected_at = found.ejected_at or now
-            found.ejected_until = now + pause * spread
+        record = self.zones.setdefault(zone, ZoneRecord())
+        record.lost.add(subject.host)
+        if (
+            len(record.lost) >= ZONE_UNREACHABLE_HOSTS
+            and now >= record.ejected_until
+        ):
+            pause_s = min(
+                MAX_EJECTION_S,
+                INITIAL_EJECTION_S * 2 ** min(record.ejections, 8),
+            )
+            jitter = 1 + EJECTION_JITTER * self.randomness.random()
+            record.ejections += 1
+            record.ejected_at = record.ejected_at or now
+            record.ejected_until = now + pause_s * jitter
 
     def _is_excluded(self, subject: Subject, now: float) -> bool:
         zone = self.zones.get(subject.availability_zone)
@@ -238,8 +254,8 @@
             return False
         if now < record.ejected_until:
             return True
-        trial = record.trial_since
-        return trial is not None and now - trial < TRIAL_TIMEOUT_S
+        trial_since = record.trial_since
+        return trial_since is not None and now - trial_since < TRIAL_TIMEOUT_S
 
     def _excluded_since(self, subject: Subject) -> float:
         record = self.records.get(subject.key)
--- a/src/peridotpost/decisions/failures.py
+++ b/src/peridotpost/decisions/failures.py
@@ -1,9 +1,9 @@
-"""What part of its requests a target fails.
+"""Failure rate of a target.
 
-Load pattern: some targets of a service turn requests away, fail them or lose
-their answers for seconds while the others are sound.  A moving average
-follows within some requests, and fades, so that a target that gets no work
-any more is used again.
+Load pattern: some targets of a service refuse requests, fail them or lose
+their answers for seconds while the others are healthy.  A moving average
+follows within a few requests.  It also decays over time, so that a target that
+gets no more requests is used again.
 """
 
 import dataclasses
@@ -15,26 +15,26 @@
 
 @dataclasses.dataclass(slots=True)
 class FailureShare:
-    """A moving average of failures, 0 to 1.
+    """A decaying moving average of failures, 0 to 1.
 
-    :param at: when `share` was last right, seconds.
+    :param share: the rate at the time `at`, in seconds.
     """
 
     share: float = 0.0
     at: float = 0.0
 
     def note(self, failed: bool, now: float) -> None:
-        """Take the outcome of one request."""
-        faded = self.value(now)
-        self.report(faded + EWMA_WEIGHT * (float(failed) - faded), now)
+        """Record the outcome of one request."""
+        decayed = self.value(now)
+        self.report(decayed + EWMA_WEIGHT * (float(failed) - decayed), now)
 
     def report(self, share: float, now: float) -> None:
-        """Take another one's figure."""
+        """Replace the rate by one that was measured elsewhere."""
         self.share = share
         self.at = now
 
     def value(self, now: float) -> float:
-        """Return the share as it has faded by now."""
+        """Return the rate after decay."""
         if self.share < NEGLIGIBLE_RATE:
             return 0.0
         age_s = max(0.0, now - self.at)
--- a/src/peridotpost/decisions/fairness.py
+++ b/src/peridotpost/decisions/fairness.py
@@ -1,17 +1,17 @@
-"""Whose waiting request is served next, and whose gives way.
-
-Load pattern: one caller sends most of the requests (a batch job, a loop
-gone wrong), or most requests are about one thing, such as the one bond
-that a signing day turns on.  First come, first served hands such a flow
-the share of the slots that it asks for, and the others wait behind it.
-
-Each caller has a virtual time that grows by one with each request served
-(start-time fair queueing); the caller with the least is served next, so
-that callers who wait share the slots evenly, however many requests each
-of them sent.  One key may fill half of the slots while others wait: its
-requests tend to wait for the same lock within the target, so that more
-slots would only hold more waiters.  When the queue is full the heaviest
-caller or key gives way, not whoever came last.
+"""Fair queueing among callers and keys.
+
+Load pattern: one caller sends most of the requests (a batch job, a runaway
+loop), or most requests are about one key, such as the one bond that is signed
+on a given day.  First come, first served gives such a flow the share of the
+slots that it asks for, and the others wait behind it.
+
+Each caller has a virtual time that increases by one with each of its requests
+that is served (start-time fair queueing).  The caller with the lowest virtual
+time is served next, so that waiting callers share the slots evenly regardless
+of how many requests they sent.  While others wait, one key may use half of the
+slots: its requests tend to wait for the same lock within the target, so more
+slots would only hold more waiters.  When the queue is full, a request of the
+heaviest caller or key is dropped, not the latest arrival.
 """
 
 import collections
@@ -21,21 +21,22 @@
 from peridotpost.model import config
 
 HOT_KEY_SHARE = 0.5
-"""The least share at which a hot key's throughput is still limited by its
-own lock, not by us, and yet half of the slots stay for all others."""
+"""The smallest share at which a hot key's throughput is still limited by its
+own lock and not by this bound; half of the slots stay for all others."""
 
 MAX_CALLERS = 4096
-"""Callers told apart while a queue stands: some 400 KB."""
+"""Maximum number of callers tracked while a queue stands; about 400 KB."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Ticket:
-    """A request at a gate, compared by identity.
+    """A request under admission control, compared by identity.
 
-    :param caller: who sent it; empty if unknown, which is a flow as well.
-    :param key: what it is about, for example the path of a read.
-    :param arrived: seconds, by the clock of the gate's owner.
-    :param deadline: the moment at which its caller gives up.
+    :param caller: name of the sender; empty if unknown.  Requests of unknown
+        callers form a flow of their own.
+    :param key: subject of the request, for example the path of a read.
+    :param arrived: arrival time in seconds, by the clock of the gate's owner.
+    :param deadline: time at which the caller gives up.
     """
 
     caller: str
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FairShares:
-    """What each caller was served and each key holds, over all classes."""
+    """Virtual time of each caller and slots of each key, over all classes."""
 
     served: dict[str, float] = dataclasses.field(default_factory=dict)
     running_keys: collections.Counter[str] = dataclasses.field(
@@ -57,15 +58,18 @@
     virtual_clock: float = 0.0
 
     def start(self, ticket: Ticket, contended: bool) -> None:
-        """Note that `ticket` runs; charged if others wait meanwhile."""
+        """Record the start of a request.
+
+        :param contended: others are waiting, so the caller is charged.
+        """
         self.running_keys[ticket.key] += 1
         if not contended:
             return
-        before = self.virtual_time(ticket.caller)
-        self.virtual_clock = max(self.virtual_clock, before)
+        start_time = self.virtual_time(ticket.caller)
+        self.virtual_clock = max(self.virtual_clock, start_time)
         if len(self.served) >= MAX_CALLERS:
             self.reset()
-        self.served[ticket.caller] = before + 1
+        self.served[ticket.caller] = start_time + 1
 
     def finish(self, ticket: Ticket) -> None:
         self.running_keys[ticket.key] -= 1
@@ -73,20 +77,20 @@
             del self.running_keys[ticket.key]
 
     def virtual_time(self, caller: str) -> float:
-        # A caller that was away must not have saved up a claim.
+        # An idle caller must not accumulate credit.
         return max(self.served.get(caller, 0.0), self.virtual_clock)
 
     def reset(self) -> None:
-        """Make all callers equal again, as nobody waits any more.
+        """Clear all charges once no request is queued.
 
-        Charges are about who waits for whom; kept beyond that they would
-        also let the table grow with every caller that ever came.
+        Charges only order the callers that wait for each other.  Kept longer,
+        the table would grow with every caller ever seen.
         """
         self.served.clear()
 
 
 class FairQueue:
-    """The waiting requests of one work class, by caller in arrival order."""
+    """Queued requests of one work class, by caller in order of arrival."""
 
     def __init__(self) -> None:
         self.by_caller: dict[str, list[Ticket]] = {}
@@ -99,12 +103,12 @@
         self.size += 1
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take `ticket` out; False if it does not wait here."""
-        held = self.by_caller.get(ticket.caller)
-        if held is None or ticket not in held:
+        """Remove `ticket`; return False if it is not queued here."""
+        flow = self.by_caller.get(ticket.caller)
+        if flow is None or ticket not in flow:
             return False
-        held.remove(ticket)
-        if not held:
+        flow.remove(ticket)
+        if not flow:
             del self.by_caller[ticket.caller]
         self.keys[ticket.key] -= 1
         if not self.keys[ticket.key]:
@@ -113,7 +117,7 @@
         return True
 
     def tickets(self) -> list[Ticket]:
-        return [one for held in self.by_caller.values() for one in held]
+        return [ticket for flow in self.by_caller.values() for ticket in flow]
 
     def waiting_count(self, caller: str) -> int:
         return len(self.by_caller.get(caller, ()))
@@ -121,47 +125,53 @@
     def pop(
         self, shares: FairShares, slots: int, newest_first: bool
     ) -> Ticket | None:
-        """Take out the request to serve next, None when there is none."""
+        """Remove and return the request to serve next, or None if empty."""
         end = -1 if newest_first else 0
-        heads = [held[end] for held in self.by_caller.values()]
+        heads = [flow[end] for flow in self.by_caller.values()]
         if not heads:
             return None
-        bound = max(1, int(slots * HOT_KEY_SHARE))
+        key_limit = max(1, int(slots * HOT_KEY_SHARE))
         best = min(
             heads,
-            key=lambda one: (
-                shares.running_keys[one.key] >= bound,
-                shares.virtual_time(one.caller),
-                -one.arrived if newest_first else one.arrived,
+            key=lambda ticket: (
+                shares.running_keys[ticket.key] >= key_limit,
+                shares.virtual_time(ticket.caller),
+                -ticket.arrived if newest_first else ticket.arrived,
             ),
         )
-        if shares.running_keys[best.key] >= bound:
-            best = self._first_below_key_limit(shares, bound, newest_first) or best
+        if shares.running_keys[best.key] >= key_limit:
+            best = (
+                self._first_below_key_limit(shares, key_limit, newest_first)
+                or best
+            )
         self.remove(best)
         return best
 
     def _first_below_key_limit(
-        self, shares: FairShares, bound: int, newest_first: bool
+        self, shares: FairShares, key_limit: int, newest_first: bool
     ) -> Ticket | None:
-        """Return a request behind the heads whose key is not hot."""
-        cool = [
-            one
-            for one in self.tickets()
-            if shares.running_keys[one.key] < bound
+        """Return the first request whose key is below the limit.
+
+        It may be queued behind the first request of its caller.
+        """
+        below_limit = [
+            ticket
+            for ticket in self.tickets()
+            if shares.running_keys[ticket.key] < key_limit
         ]
-        if not cool:
+        if not below_limit:
             return None
         pick = max if newest_first else min
-        return pick(cool, key=operator.attrgetter('arrived'))
+        return pick(below_limit, key=operator.attrgetter('arrived'))
 
     def drop_candidate(self, oldest: bool) -> Ticket | None:
-        """Return the request that gives way when the queue is full.
+        """Return the request to drop when the queue is full.
 
-        It belongs to the caller with the most waiting; if most of what
-        waits, but not all, is about one key, to the one with the most
-        waiting for that.
+        It belongs to the caller with the most queued requests.  If more than
+        half of the queue, but not all of it, is about one key, it belongs to
+        the caller with the most queued requests about that key.
 
-        :param oldest: the oldest of that flow, else its newest.
+        :param oldest: return the oldest request of that flow, not the newest.
         """
         if not self.size:
             return None
@@ -169,9 +179,9 @@
         key, count = max(self.keys.items(), key=operator.itemgetter(1))
         if self.size / 2 < count < self.size:
             flows = {
-                caller: [one for one in held if one.key == key]
-                for caller, held in self.by_caller.items()
+                caller: [ticket for ticket in flow if ticket.key == key]
+                for caller, flow in self.by_caller.items()
             }
-        held = max(flows.values(), key=len)
+        heaviest = max(flows.values(), key=len)
         pick = min if oldest else max
-        return pick(held, key=operator.attrgetter('arrived'))
+        return pick(heaviest, key=operator.attrgetter('arrived'))
--- a/src/peridotpost/decisions/retry.py
+++ b/src/peridotpost/decisions/retry.py
@@ -1,24 +1,24 @@
-"""Whether a call that got no answer is sent to another target.
+"""Retries of calls at other targets.
 
-Load pattern: a target dies or refuses under a surge.  Without retries its
-callers see each loss; with unbounded ones a brown-out is multiplied by
-the attempts, at every one of up to ten levels.
+Load pattern: a target dies, or refuses calls under a surge.  Without retries
+its callers see each failure.  With unlimited retries the load of a brown-out
+is multiplied by the number of attempts at each of up to ten call levels.
 
-A refusal proves that nothing ran, so any call may be sent on.  After an
-unknown outcome only an idempotent call may.  A target that sheds an
-idempotent call (503 with Retry-After) says that another may take it.
+A refusal proves that nothing ran, so any call may be retried.  After an
+unknown outcome only an idempotent call may.  A target that sheds an idempotent
+call (503 with Retry-After) indicates that another target may take it.
 
-Retries at one level only: a refusal that a daemon hands to its caller, its
-own or a target's, carries ``RETRIED_HEADER``; it was tried as often as the
-rules allow there.  Where that caller is a target that passes the answer on
-with its headers, trying again further up would multiply the attempts,
+Retries happen at one level only.  A refusal that a daemon returns to its
+caller, whether its own or a target's, carries ``RETRIED_HEADER``: the allowed
+retries were already made there.  If that caller is a target that passes the
+answer on with its headers, retries further up would multiply the attempts, to
 three to the tenth at ten levels.
 
-Retries spend a budget that calls earn, each service its own: one retry
-for ten calls, so that at worst a tenth is added to the load of a service
-that fails, and one that fails takes nothing from the others; the bound of
-three attempts covers two failures at once.  Hedging is not done: at a
-full target it adds load exactly when there is none to spare.
+Each service has its own retry budget, which its calls earn: one retry for ten
+calls.  At worst this adds a tenth to the load of a failing service, and one
+failing service takes no budget from others.  The limit of three attempts
+covers two simultaneous failures.  Calls are not hedged: that would add load
+exactly when targets are full.
 """
 
 import dataclasses
@@ -42,12 +42,12 @@
         calls.NotRunReason.NOT_READY,
     }
 )
-"""Refusals that another target may not repeat."""
+"""Reasons for a refusal that may not apply at another target."""
 
 
 @dataclasses.dataclass(slots=True)
 class RetryBudget:
-    """Tokens earned by calls and spent by retries."""
+    """Token bucket that calls fill and retries drain."""
 
     tokens: float = MAX_TOKENS
 
@@ -55,7 +55,7 @@
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_CALL)
 
     def spend(self) -> bool:
-        """Take one token; False when there is none."""
+        """Take one token; return False if there is none."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -68,7 +68,7 @@
     attempts: int,
     remaining_ms: float,
 ) -> bool:
-    """Whether the rules allow another attempt, the budget aside."""
+    """Whether another attempt is allowed, retry budget aside."""
     if attempts >= MAX_ATTEMPTS or remaining_ms < MIN_REMAINING_MS:
         return False
     if isinstance(outcome, calls.NotRun):
@@ -83,10 +83,10 @@
 def final_of(
     before: calls.Outcome | None, latest: calls.Outcome
 ) -> calls.Outcome:
-    """Return what the caller is told after one more attempt.
+    """Return the outcome for the caller after one more attempt.
 
-    A refusal of the last attempt is no proof that none of them ran: after
-    an unknown outcome or an answer that word would be false.
+    A refusal of the latest attempt doesn't prove that no attempt ran.  After
+    an unknown outcome or an answer, reporting it would be wrong.
     """
     if before is None or not isinstance(latest, calls.NotRun):
         return latest
@@ -94,15 +94,15 @@
 
 
 def marked(outcome: calls.Outcome) -> calls.Outcome:
-    """Return `outcome` with the mark that no level above is to retry it."""
+    """Return `outcome` with a header that stops retries at upper levels."""
     if not isinstance(outcome, calls.Answer) or not is_shed(outcome):
         return outcome
-    mark = calls.Header(RETRIED_HEADER, 'yes')
-    return dataclasses.replace(outcome, headers=(*outcome.headers, mark))
+    header = calls.Header(RETRIED_HEADER, 'yes')
+    return dataclasses.replace(outcome, headers=(*outcome.headers, header))
 
 
 def is_shed(answer: calls.Answer) -> bool:
-    """Whether the target itself refused, nobody further down."""
+    """Whether the called target itself shed the call, not one below it."""
     if answer.status != SHED_STATUS:
         return False
     names = {header.name.lower() for header in answer.headers}
--- a/src/peridotpost/decisions/returning.py
+++ b/src/peridotpost/decisions/returning.py
@@ -1,37 +1,38 @@
-"""What is still due to a caller that was refused and comes again.
-
-Load pattern: a target is short of room for seconds.  Its refusals come
-back after the time that they were told, as the same request under a new
-attempt id, among fresh ones.  Taken for fresh ones,
-
-- they draw a new part of a split.  While a part of three quarters refuses
-  four in five, the other part gets not a quarter of the callers but more
-  than two fifths, against the operators' weights;
-- they are given a whole objective again, and are served, late for their
-  callers, in slots in which fresh ones would have been in time: at 1.3
-  times the load of one service a fifth of its answers was late, a
-  twentieth since the objective runs from the first attempt.
-
-An ingress remembers what it refused until that caller's own deadline.  A
-request that comes again keeps its part and its objective.  Equal requests
-of two callers can be taken for each other; as each memory serves once, the
-numbers still come out right.
+"""Recognition of retries by callers whose request was refused.
+
+Load pattern: a target lacks capacity for some seconds.  Callers that it
+refused retry after the time they were told, with the same request under a new
+attempt id, among new requests.  If retries were treated as new requests,
+
+- they would be assigned to a part of a traffic split anew.  While a part with
+  three quarters of the weight refuses four in five, the other part would get
+  over two fifths of the callers instead of a quarter, against the operators'
+  weights;
+- they would get a full objective again and be answered late for their callers,
+  in slots in which new requests would have been in time.  At 1.3 times the
+  load of one service a fifth of its answers was late; with the objective
+  counted from the first attempt it was a twentieth.
+
+An ingress remembers each request that it refused until the caller's own
+deadline.  A retry keeps its part of the split and its objective.  Equal
+requests of two callers can be confused, but each entry is used only once, so
+the totals stay correct.
 """
 
 import dataclasses
 
 MAX_REMEMBERED = 4096
-"""Some 1 MB; ten seconds of 400 refusals a second at one ingress, which is
-more than the longest deadline of the callers known."""
+"""About 1 MB.  Enough for ten seconds of 400 refusals per second at one
+ingress, longer than the longest deadline of known callers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstAttempt:
-    """A request that was refused.
+    """A refused request.
 
-    :param service: the part of a split that it drew.
-    :param at: when its caller first asked, by the ingress's clock.
-    :param until: the caller's deadline; after it nobody comes again.
+    :param service: part of a traffic split that the request was assigned to.
+    :param at: time of the first attempt, by the ingress's clock.
+    :param until: the caller's deadline, after which it doesn't retry.
     """
 
     route: str
@@ -41,13 +42,13 @@
 
 
 class RefusedRequests:
-    """The requests that one ingress refused lately, by fingerprint."""
+    """Recently refused requests of one ingress, by fingerprint."""
 
     def __init__(self) -> None:
         self.held: dict[str, FirstAttempt] = {}
 
     def refused(self, fingerprint: str, attempt: FirstAttempt) -> None:
-        """Remember a refusal; the oldest gives way when there are many."""
+        """Remember a refusal, evicting the oldest one if the table is full."""
         if len(self.held) >= MAX_REMEMBERED:
             del self.held[next(iter(self.held))]
         self.held[fingerprint] = attempt
@@ -55,8 +56,8 @@
     def came(
         self, fingerprint: str, route: str, now: float
     ) -> FirstAttempt | None:
-        """Return the first attempt of a request; None for a fresh one."""
-        found = self.held.pop(fingerprint, None)
-        if found is None or found.route != route or now >= found.until:
+        """Return and forget the first attempt; None for a new request."""
+        first = self.held.pop(fingerprint, None)
+        if first is None or first.route != route or now >= first.until:
             return None
-        return found
+        return first
--- a/src/peridotpost/decisions/slots.py
+++ b/src/peridotpost/decisions/slots.py
@@ -1,23 +1,24 @@
-"""Which request runs on a target now, which waits, which is refused.
+"""Queue of one target: start, queue or refuse each request.
 
-Load pattern: more requests come to a target than it has slots, of routes that
-differ in urgency and length, and callers that were refused come back.
+Load pattern: a target receives more requests than it has slots.  Its routes
+differ in priority and run time, and refused callers retry.
 
-- The caller of this module is the only sender to its target, so slots are
+- The owner of a queue is the only sender to its target, so occupied slots are
   counted exactly and nothing queues inside the target.
-- The order is by rank (0 first), then requests that still make their
-  objective before late ones, then by arrival and the whole objective of the
-  route.  Short calls so go before long requests of their rank, and callers
-  that come back do not go before fresh ones.
-- A request waits only if its answer is expected in time, by the work ahead
-  of it and the slots that more urgent routes leave (``slotshare``); else it
-  is refused, so that another target can be asked.  The last choice may wait
-  as a late one, a few of each rank at a time.
-- A slot that frees goes to a request whose mean run still ends in time.
-- A request that can't make its deadline is refused when a slot frees, or as
-  soon as too little time for a run is left: at the deadline itself its
-  caller would have to be told that it may have run.
-- The refused are told when a slot is expected, spread over time.
+- Requests are ordered by rank (0 first), then those that can still meet their
+  objective before late ones, then by arrival time plus the full objective of
+  the route.  Short calls therefore run before long requests of the same rank,
+  and retries do not overtake new requests.
+- A request is queued only if its answer is expected within the objective,
+  given the work ahead of it and the share of slots that more urgent routes
+  leave (``slotshare``).  Otherwise it is refused, so that another target can
+  be tried.  A request with no other target left may be queued as late; few of
+  these are held for each rank.
+- A freed slot goes to a request whose mean run still ends in time.
+- A request that can't meet its deadline is refused when a slot frees, or as
+  soon as the time left is too short for a run.  At the deadline itself the
+  caller would have to be told that the request may have run.
+- Refused callers are told when a slot is expected, with jitter.
 """
 
 import bisect
@@ -29,21 +30,21 @@
 from peridotpost.model import forwarding
 
 MARGIN = 1.5
-"""Mean deviations of a route's runs, added where a refusal costs only another
-try."""
+"""Mean deviations of run time added to an estimate before queueing; a
+refusal at this point only costs another try."""
 RETRY_AFTER_JITTER = 0.5
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 5.0
 MIN_RUN_SHARE = 0.5
-"""Of the mean run; a run that has less time left before its deadline is not
-started."""
+"""Share of the mean run time; a request with less time than this left before
+its deadline is not started."""
 LATE_SHARE = 0.25
-"""Late ones of a rank that wait, per slot; one at least."""
+"""Late requests queued for each rank, per slot; at least one."""
 
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What one event led to."""
+    """Requests that one event started or refused."""
 
     started: list[forwarding.Order]
     refused: list[forwarding.Order]
@@ -51,11 +52,11 @@
 
 @dataclasses.dataclass(order=True, slots=True)
 class QueueEntry:
-    """A waiting order; the least one goes first.
+    """A queued order; the smallest entry is started first.
 
-    :param due: its arrival and the whole objective of its route.
-    :param number: of its arrival.
-    :param run_s: the expected time of its run.
+    :param due: arrival time plus the full objective of the route.
+    :param number: sequence number of the entry.
+    :param run_s: expected run time.
     """
 
     rank: int
@@ -67,9 +68,9 @@
 
 
 class SlotQueue:
-    """Slots of one target and what waits for them.
+    """Slots of one target and the requests queued for them.
 
-    :param slots: requests that the target runs at once.
+    :param slots: requests that the target runs concurrently.
     """
 
     def __init__(self, slots: int, randomness: random.Random) -> None:
@@ -85,24 +86,29 @@
 
     @property
     def load(self) -> float:
-        """What runs and waits, per slot."""
+        """Running and queued requests per slot."""
         return (self.running + len(self.waiting)) / max(1, self.slots)
 
     def expected_wait_s(
         self, order: forwarding.Order, now: float, late: bool = False
     ) -> float:
-        """How long `order` waits if it comes now."""
+        """Return how long `order` would wait if it arrived now."""
         if self.running < self.slots:
             return 0.0
-        turn = slotshare.precedence_of(order.rank, late, self._objective_s(order))
+        precedence = slotshare.precedence_of(
+            order.rank, late, self._objective_s(order)
+        )
         slots = max(1, self.slots)
-        next_s = self.running_work_s / max(1, self.running)
-        work_s = next_s + self._work_ahead_s(order, late)
-        left = 1 - self.shares.before(turn, slots, now)
-        return work_s / slots / left
+        next_free_s = self.running_work_s / max(1, self.running)
+        work_s = next_free_s + self._work_ahead_s(order, late)
+        available_share = 1 - self.shares.before(precedence, slots, now)
+        return work_s / slots / available_share
 
     def arrive(self, order: forwarding.Order, now: float) -> Verdict:
-        """Decide on an order; it waits if the verdict does not name it."""
+        """Start, queue or refuse an order.
+
+        An order that the result names neither started nor refused is queued.
+        """
         order.received = now
         self._note_arrival(order, now)
         if self.running < self.slots:
@@ -122,59 +128,63 @@
         return Verdict([], [order])
 
     def finish(self, order: forwarding.Order, now: float) -> Verdict:
-        """Give the slot of `order` back; name those that follow."""
+        """Free the slot of `order`; return what was started or refused."""
         self.times.add(order.route, now - order.started)
         return self.release(order, now)
 
     def release(self, order: forwarding.Order, now: float) -> Verdict:
-        """Give back a slot whose run tells nothing about run times."""
+        """Free a slot without recording the run time."""
         self.running -= 1
         self.running_work_s -= order.run_s
         if not self.running:
-            # Sums of floats drift.
+            # Discards the rounding error of repeated additions.
             self.running_work_s = 0.0
         return self.fill(now)
 
     def fill(self, now: float) -> Verdict:
-        """Start what waits while there are slots."""
+        """Start queued requests while slots are free."""
         verdict = Verdict([], [])
         while self.waiting and self.running < self.slots:
-            first = self.waiting.pop(0)
-            if not first.order.settled:
-                self._dispatch(first, now, verdict)
+            entry = self.waiting.pop(0)
+            if not entry.order.settled:
+                self._dispatch(entry, now, verdict)
         return verdict
 
     def hopeless_at(self, order: forwarding.Order) -> float:
-        """When a waiting order can't make its deadline any more."""
+        """Return the time after which a queued order misses its deadline."""
         return order.deadline - self._min_run_s(order)
 
     def withdraw(self, order: forwarding.Order) -> None:
-        """Take out a waiting order."""
-        for index, one in enumerate(self.waiting):
-            if one.order is order:
+        """Remove a queued order."""
+        for index, entry in enumerate(self.waiting):
+            if entry.order is order:
                 del self.waiting[index]
                 return
 
     def drain(self) -> list[forwarding.Order]:
-        """Take out all that waits."""
-        taken = [one.order for one in self.waiting]
+        """Empty the queue and return its orders."""
+        orders = [entry.order for entry in self.waiting]
         self.waiting = []
-        return taken
+        return orders
 
     def return_s(self, order: forwarding.Order, now: float) -> float:
-        """When a refused caller should come back, seconds from now."""
+        """Return the seconds after which a refused caller should retry."""
         wait_s = self.expected_wait_s(order, now)
-        expected = wait_s + self.times.mean_s / 2
-        spread = 1 + RETRY_AFTER_JITTER * self.randomness.random()
-        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, expected * spread))
+        expected_s = wait_s + self.times.mean_s / 2
+        jitter = 1 + RETRY_AFTER_JITTER * self.randomness.random()
+        return min(
+            MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, expected_s * jitter)
+        )
 
-    def _dispatch(self, first: QueueEntry, now: float, verdict: Verdict) -> None:
-        """Start who is first, or move it back, or refuse it."""
-        order = first.order
+    def _dispatch(
+        self, entry: QueueEntry, now: float, verdict: Verdict
+    ) -> None:
+        """Start the head of the queue, requeue it as late, or refuse it."""
+        order = entry.order
         if now + self._min_run_s(order) > order.deadline:
             verdict.refused.append(order)
-        elif first.late or self._ends_in_time(order, now):
-            self._start(order, now, first.late)
+        elif entry.late or self._ends_in_time(order, now):
+            self._start(order, now, entry.late)
             verdict.started.append(order)
         elif self._accepts_late(order, now):
             self._wait(order, late=True)
@@ -186,8 +196,10 @@
         order.run_s = self.times.expected_s(order.route)
         self.running += 1
         self.running_work_s += order.run_s
-        turn = slotshare.precedence_of(order.rank, late, self._objective_s(order))
-        self.shares.started(turn, order.run_s, now)
+        precedence = slotshare.precedence_of(
+            order.rank, late, self._objective_s(order)
+        )
+        self.shares.started(precedence, order.run_s, now)
 
     def _wait(self, order: forwarding.Order, late: bool) -> None:
         self.arrivals += 1
@@ -202,30 +214,37 @@
         bisect.insort(self.waiting, entry)
 
     def _accepts_late(self, order: forwarding.Order, now: float) -> bool:
-        """Whether one more may wait that will be late anyhow.
+        """Whether one more request may be queued that misses its objective.
 
-        Those get the slots that nobody in time asks for; when there are
-        none, a long line of them would wait for nothing.
+        Late requests only get slots that no request in time needs.  Under
+        sustained load there are none, and a long queue of late requests would
+        wait in vain.
         """
-        late = sum(one.late and one.rank == order.rank for one in self.waiting)
-        if late >= max(1, int(self.slots * LATE_SHARE)):
+        queued = sum(
+            entry.late and entry.rank == order.rank for entry in self.waiting
+        )
+        if queued >= max(1, int(self.slots * LATE_SHARE)):
             return False
         wait_s = self.expected_wait_s(order, now, late=True)
         run_s = self.times.expected_s(order.route)
         return now + wait_s + run_s <= order.deadline
 
     def _work_ahead_s(self, order: forwarding.Order, late: bool) -> float:
-        """Return the run times of all that waits and goes before."""
-        place = (order.rank, late, self._due(order))
+        """Return the run time of all queued requests ahead of `order`."""
+        position = (order.rank, late, self._due(order))
         total_s = 0.0
-        for one in self.waiting:
-            if (one.rank, one.late, one.due) > place:
+        for entry in self.waiting:
+            if (entry.rank, entry.late, entry.due) > position:
                 break
-            total_s += one.run_s
+            total_s += entry.run_s
         return total_s
 
     def _note_arrival(self, order: forwarding.Order, now: float) -> None:
-        """Note an arrival; the largest objective of a route is its whole."""
+        """Record an arrival and the objective of its route.
+
+        A retry has only part of its objective left, so the largest value seen
+        is taken as the route's full objective.
+        """
         left_s = order.objective - now
         self.times.note_arrival(order.route, left_s)
         if left_s > self.objective_by_route.get(order.route, 0.0):
--- a/src/peridotpost/decisions/slotshare.py
+++ b/src/peridotpost/decisions/slotshare.py
@@ -1,15 +1,15 @@
-"""Which part of a target's slots goes to the more urgent.
-
-Load pattern: calls that a few requests depend on, and long requests that
-are less urgent, share a target; the calls alone take a third of its slots.
-What waits ahead of a long request when it comes is not all that goes before
-it: calls that come while it waits do too.  Without their part, it waits
-half as long again as was expected: at 1.2 times the load 26% of the answers
-to requests of half a second were late beside calls of a tenth.
-
-Work that was started is remembered for about ``MEMORY_S``: long against a
-run and against the pauses between the requests of a caller, short against
-a surge.
+"""Share of a target's slots that more urgent work takes.
+
+Load pattern: a target serves calls that a few requests depend on as well as
+long, less urgent requests; the calls alone take a third of its slots.  A long
+request waits not only for the work queued ahead of it, but also for calls that
+arrive while it waits.  Without accounting for these it waits half as long
+again as expected: at 1.2 times the load, 26% of the answers to requests of
+half a second were late beside calls of a tenth of a second.
+
+Started work decays with a time constant of ``DECAY_S``, which is long compared
+with a run and with the pauses between the requests of a caller, and short
+compared with a surge.
 """
 
 import dataclasses
@@ -17,8 +17,8 @@
 
 DECAY_S = 1.0
 MAX_SHARE = 0.95
-"""The less urgent are taken to get a twentieth at least, so that their wait
-stays a number and the share can shrink again."""
+"""Leaves at least 5% to less urgent work: its expected wait stays finite, and
+the share can decrease again."""
 
 
 MIN_OBJECTIVE_S = 0.001
@@ -26,12 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
 class Precedence:
-    """Who goes first: the least one.
+    """Sort key of a class of requests; the smallest is started first.
 
     :param late: whether the objective will be missed.
-    :param octave: power of two of the objective in seconds.  Of two routes
-        of a rank the one with less than half of the other's objective goes
-        before nearly all that waits of the other.
+    :param objective_exponent: binary exponent of the objective in seconds.
+        If one route's objective is less than half of another's in the same
+        rank, its requests start before nearly all queued ones of the other.
     """
 
     rank: int
@@ -40,16 +40,16 @@
 
 
 def precedence_of(rank: int, late: bool, objective_s: float) -> Precedence:
-    """Return the turn of a request that has `objective_s` left."""
+    """Return the precedence of a request with this objective."""
     if late:
         return Precedence(rank, late)
-    octave = math.floor(math.log2(max(MIN_OBJECTIVE_S, objective_s)))
-    return Precedence(rank, late, octave)
+    exponent = math.floor(math.log2(max(MIN_OBJECTIVE_S, objective_s)))
+    return Precedence(rank, late, exponent)
 
 
 @dataclasses.dataclass(slots=True)
 class DecayingWork:
-    """Seconds of runs started lately."""
+    """Exponentially decaying sum of expected run times, in seconds."""
 
     work_s: float = 0.0
     at: float = 0.0
@@ -64,20 +64,24 @@
 
 
 class SlotShares:
-    """What was started on one target lately."""
+    """Recently started work of one target, by precedence."""
 
     def __init__(self) -> None:
         self.work_by_precedence: dict[Precedence, DecayingWork] = {}
 
-    def started(self, turn: Precedence, run_s: float, now: float) -> None:
-        """Note that a run begins which is expected to take `run_s`."""
-        self.work_by_precedence.setdefault(turn, DecayingWork()).add(run_s, now)
+    def started(
+        self, precedence: Precedence, run_s: float, now: float
+    ) -> None:
+        """Record the start of a run that is expected to take `run_s`."""
+        self.work_by_precedence.setdefault(precedence, DecayingWork()).add(
+            run_s, now
+        )
 
-    def before(self, turn: Precedence, slots: int, now: float) -> float:
-        """Return the part of `slots` that what goes before `turn` takes."""
+    def before(self, precedence: Precedence, slots: int, now: float) -> float:
+        """Return the share of `slots` taken by work ahead of `precedence`."""
         work_s = sum(
             work.value_s(now)
             for other, work in self.work_by_precedence.items()
-            if other < turn
+            if other < precedence
         )
         return min(MAX_SHARE, work_s / DECAY_S / max(1, slots))
--- a/src/peridotpost/decisions/split.py
+++ b/src/peridotpost/decisions/split.py
@@ -1,10 +1,10 @@
-"""Which service of a weighted split gets a request.
+"""Weighted traffic splits between services.
 
-Each request goes to the part that is furthest behind its weight (smooth
-weighted round robin), so that the shares hold over any few requests, not
-only on average.  A part that is short of room refuses what does not fit;
-moved to another part, its requests would break the weights that the
-operators set, for instance to keep an untried version at one in ten.
+Each request is assigned to the part that is furthest behind its weight (smooth
+weighted round robin), so that the shares hold over any short sequence of
+requests, not only on average.  A part that lacks capacity refuses what does
+not fit.  Moving its requests to another part would violate the weights that
+the operators set, for instance to limit a new version to one request in ten.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 class Splitter:
-    """Keeps the turns of one ingress, by route."""
+    """Round-robin state of one ingress, by route and its weights."""
 
     def __init__(self) -> None:
         self.credits: dict[
@@ -21,15 +21,15 @@
         ] = {}
 
     def pick(self, route: str, shares: Sequence[mesh.Share]) -> str:
-        """Return the service that is next."""
+        """Return the service that gets the next request."""
         if len(shares) == 1:
             return shares[0].service
         key = (route, tuple(shares))
         credits = self.credits.get(key)
         if credits is None:
-            # Only the newest weights of a route are of use.
-            for old in [one for one in self.credits if one[0] == route]:
-                del self.credits[old]
+            # Only the latest weights of a route are kept.
+            for outdated in [old for old in self.credits if old[0] == route]:
+                del self.credits[outdated]
             credits = self.credits[key] = [0.0] * len(shares)
         total = 0.0
         for index, share in enumerate(shares):
--- a/src/peridotpost/decisions/targetstate.py
+++ b/src/peridotpost/decisions/targetstate.py
@@ -1,14 +1,15 @@
-"""What an ingress knows of a target.
+"""State of a target as an ingress knows it.
 
 Load pattern: targets of a service differ in speed by a factor of three and
-fill up within some runs; routes of one target differ by a factor of ten.
-Judged by a mean over routes, a target that serves short calls well is taken
-for slow; judged by an old report, one that was full stays shunned.
-
-- Load and run times are the guard's own word, which comes with each answer
-  and refusal, or the own count of requests under way, whichever is more.
-- Its guard sees all outcomes and reports the share of failures; an ingress
-  adds the streams that it lost itself.
+fill up within a few runs; routes of one target differ by a factor of ten.
+Judged by a mean over all routes, a target that serves short calls well looks
+slow.  Judged by an outdated report, a target that was full stays avoided.
+
+- Load and run times come from the target's guard, with each answer and
+  refusal.  The load is the higher of that report and the ingress's own count
+  of requests in flight.
+- The guard sees all outcomes and reports the failure rate; the ingress adds
+  the streams that it lost itself.
 """
 
 from collections.abc import Iterable
@@ -19,22 +20,27 @@
 REPORT_HALF_LIFE_S = 0.5
 DEFAULT_RUN_S = 0.06
 EWMA_WEIGHT = 1 / 32
-"""The mean is over routes, whose runs differ by a factor of five."""
+"""Small, since the average covers routes whose runs differ by a factor of
+five."""
 QUEUEING_LOAD = 0.7
 """Load from which requests wait, as arrivals are uneven."""
 WAIT_WEIGHT = 2.0
-"""Of a wait, beside a run: who joins a queue also holds up those behind."""
+"""Weight of waiting time relative to run time: a queued request also delays
+those behind it."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Candidate:
     """A target as one ingress sees it.
 
-    :param load: what runs and waits there, per slot, as reported.
-    :param run_s: mean time of a run there; `run_by_route` by route, since
-        a service may answer one route in a fifth of another's time.
-    :param outstanding: requests of this ingress that are under way there.
-    :param version: of the target's software.
+    :param load: running and queued requests per slot, as last reported.
+    :param run_s: mean run time over all routes.
+    :param run_by_route: run time by route; a service may answer one route in
+        a fifth of another's time.
+    :param outstanding: requests of this ingress in flight to the target.
+    :param version: version of the target's software.
+    :param observed_failures: failures that this ingress saw itself.
+    :param reported_failures: failures that the target's guard reported.
     """
 
     host: str
@@ -64,7 +70,7 @@
         ready: bool,
         version: str = '',
     ) -> None:
-        """Take the guard's word on its target."""
+        """Store the state that the guard announced for its target."""
         if instance != self.instance:
             self.replaced()
         self.service = service
@@ -74,28 +80,28 @@
         self.version = version
 
     def report(self, load: float, now: float) -> None:
-        """Take the guard's word on its load."""
+        """Store the load that the guard reported."""
         self.load = load
         self.load_at = now
 
     def report_run(self, route: str, run_s: float) -> None:
-        """Take the guard's word on the time of a route's runs."""
+        """Store the run time that the guard reported for a route."""
         self.run_by_route[route] = run_s
         self.run_s += EWMA_WEIGHT * (run_s - self.run_s)
 
     def replaced(self) -> None:
-        """Forget what was learned of the incarnation before."""
+        """Discard the measurements of the previous incarnation."""
         self.observed_failures.report(0.0, 0.0)
         self.told_failures.report(0.0, 0.0)
         self.run_s = DEFAULT_RUN_S
         self.run_by_route.clear()
 
     def note(self, failed: bool, now: float) -> None:
-        """Take the outcome of a request that the target ran."""
+        """Record the outcome of a request that the target ran."""
         self.observed_failures.note(failed, now)
 
     def report_failures(self, share: float, now: float) -> None:
-        """Take the guard's word on the share of failures."""
+        """Store the failure rate that the guard reported."""
         self.told_failures.report(share, now)
 
     def failure_rate(self, now: float) -> float:
@@ -104,18 +110,18 @@
         )
 
     def load_now(self, now: float) -> float:
-        """Return what is likely to run and wait there, per slot."""
-        age = max(0.0, now - self.load_at)
-        told = float(self.load * 0.5 ** (age / REPORT_HALF_LIFE_S))
-        return max(told, (self.outstanding + 1) / max(1, self.slots))
+        """Return the estimated load, including one more request."""
+        age_s = max(0.0, now - self.load_at)
+        reported = float(self.load * 0.5 ** (age_s / REPORT_HALF_LIFE_S))
+        return max(reported, (self.outstanding + 1) / max(1, self.slots))
 
-    def cost_s(self, route: str, usual_s: float, now: float) -> float:
-        """Return what a request costs here: its run and its weighted wait.
+    def cost_s(self, route: str, default_run_s: float, now: float) -> float:
+        """Return the expected run time plus the weighted waiting time.
 
-        :param usual_s: run time of the route where none is known here.
+        :param default_run_s: run time for routes without a report.
         """
         load = self.load_now(now)
-        run_s = self.run_by_route.get(route, usual_s)
+        run_s = self.run_by_route.get(route, default_run_s)
         wait_s = 0.0
         if load > QUEUEING_LOAD:
             wait_s = (load - QUEUEING_LOAD) * self.run_s
@@ -123,13 +129,15 @@
 
 
 def typical_run_s(usable: Iterable[Candidate], route: str) -> float:
-    """Return a route's run time as far as it is known anywhere.
+    """Return the mean run time of a route over the targets that report one.
 
-    A target that joined is judged by it until it told its own; judged by
-    the mean of other routes, it was taken for eight times slower than its
-    neighbours at a short route, and got nothing.
+    It stands in for targets that just joined.  Judged by the mean over other
+    routes, such a target seemed eight times slower than its neighbours at a
+    short route and got no requests.
     """
-    known = [
-        one.run_by_route[route] for one in usable if route in one.run_by_route
+    reported = [
+        candidate.run_by_route[route]
+        for candidate in usable
+        if route in candidate.run_by_route
     ]
-    return sum(known) / len(known) if known else DEFAULT_RUN_S
+    return sum(reported) / len(reported) if reported else DEFAULT_RUN_S
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -94,7 +94,9 @@
         pytest.param([LOST, SILENT] * 3, True, id='lost-among-refusals'),
     ],
 )
-def test_what_ejects(verdicts: list[ejection.CallSignal], ejected: bool) -> None:
+def test_what_ejects(
+    verdicts: list[ejection.CallSignal], ejected: bool
+) -> None:
     one = ejection.Ejector('a', random.Random(1))
     for verdict in verdicts:
         one.note(SERVICE[0], verdict, OTHERS, 0.0)
--- a/testing/test_slots_mixed.py
+++ b/testing/test_slots_mixed.py
@@ -248,12 +248,18 @@
     ('turn', 'expected'),
     [
         pytest.param(slotshare.Precedence(0, False), 0.0, id='nothing before'),
-        pytest.param(slotshare.Precedence(1, False, -3), 0.0, id='itself left out'),
+        pytest.param(
+            slotshare.Precedence(1, False, -3), 0.0, id='itself left out'
+        ),
         pytest.param(
             slotshare.Precedence(1, False, -1), 0.125, id='shorter objective'
         ),
-        pytest.param(slotshare.Precedence(1, True), 0.25, id='in time before late'),
-        pytest.param(slotshare.Precedence(2, False), 0.5, id='more urgent, late'),
+        pytest.param(
+            slotshare.Precedence(1, True), 0.25, id='in time before late'
+        ),
+        pytest.param(
+            slotshare.Precedence(2, False), 0.5, id='more urgent, late'
+        ),
         pytest.param(slotshare.Precedence(9, False), 0.95, id='never all'),
     ],
 )
