--- a/src/peridotpost/decisions/ejection.py
+++ b/src/peridotpost/decisions/ejection.py
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Subject:
-    """Identity of a target; `key` is the one that ``choice`` uses."""
+    """Identity of a target; `key` is the one that ``loadbalancing`` uses."""
 
     key: str
     host: str
