--- a/testing/gateload.py
+++ b/testing/gateload.py
@@ -1,8 +1,8 @@
-"""Drives gates with requests on a clock of the test's own.
+"""Load generator for admission control on a simulated clock.
 
-Requests arrive open loop: no arrival waits for an answer.  What counts is
-what callers receive: an answer in time, a refusal and how soon, a late
-answer.
+Requests arrive in an open loop: no arrival waits for an answer.  Tests judge
+what callers receive: an answer in time, a late answer, or a refusal and how
+soon it came.
 """
 
 import collections
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Received:
-    """What one caller got, and how long after it had asked."""
+    """Outcome of one request, and the time from its arrival to it."""
 
     request: Request
     outcome: str
@@ -48,14 +48,14 @@
 
 class GateUnderTest(Protocol):
     def arrive(self, ticket: fairness.Ticket, now: float) -> admission.Step:
-        """Decide on a request."""
+        """Start, queue or refuse a request."""
 
     def finish(self, ticket: fairness.Ticket, now: float) -> admission.Step:
-        """Give a slot back."""
+        """Free the slot of a request."""
 
 
 class PlainFifo:
-    """The baseline: first come, first served, nobody refused."""
+    """Baseline: first come, first served, without refusals."""
 
     def __init__(self, slots: int) -> None:
         self.free = slots
@@ -79,14 +79,14 @@
 def poisson(
     rate: float, until_s: float, seed: int, **request: object
 ) -> list[Request]:
-    """Return requests at `rate` a second with random gaps."""
+    """Return the requests of a Poisson process, `rate` per second."""
     randomness = random.Random(seed)
-    found: list[Request] = []
+    requests: list[Request] = []
     at = randomness.expovariate(rate)
     while at < until_s:
-        found.append(Request(at=at, **request))  # type: ignore[arg-type]
+        requests.append(Request(at=at, **request))  # type: ignore[arg-type]
         at += randomness.expovariate(rate)
-    return found
+    return requests
 
 
 def drive(
@@ -94,32 +94,33 @@
     requests: Iterable[Request],
     retry_delay: Callable[[float], float] | None = None,
 ) -> list[Received]:
-    """Run all requests to their end and return what callers received.
+    """Run all requests to completion and return what callers received.
 
-    :param comes_back: seconds, at the time given, after which a refused
-        caller sends again, ``MAX_SENDINGS`` times at most; None for never.
+    :param retry_delay: returns the seconds after which a caller that was
+        refused at the given time retries, up to ``MAX_ATTEMPTS`` attempts;
+        None for no retries.
     """
-    order = itertools.count()
+    sequence = itertools.count()
     tickets: dict[fairness.Ticket, Request] = {}
     received: list[Received] = []
     events: list[tuple[float, int, Request | fairness.Ticket]] = [
-        (one.at, next(order), one) for one in requests
+        (request.at, next(sequence), request) for request in requests
     ]
     heapq.heapify(events)
 
-    def take(step: admission.Step, now: float) -> None:
-        for ticket in step.started:
+    def apply(decision: admission.Step, now: float) -> None:
+        for ticket in decision.started:
             end = now + tickets[ticket].work_s
-            heapq.heappush(events, (end, next(order), ticket))
-        for ticket in step.refused:
-            one = tickets.pop(ticket)
-            received.append(Received(one, REFUSED, now - one.at))
-            if retry_delay is not None and one.attempt < MAX_ATTEMPTS:
+            heapq.heappush(events, (end, next(sequence), ticket))
+        for ticket in decision.refused:
+            request = tickets.pop(ticket)
+            received.append(Received(request, REFUSED, now - request.at))
+            if retry_delay is not None and request.attempt < MAX_ATTEMPTS:
                 at = now + retry_delay(now)
-                again = dataclasses.replace(
-                    one, at=at, attempt=one.attempt + 1
+                retry = dataclasses.replace(
+                    request, at=at, attempt=request.attempt + 1
                 )
-                heapq.heappush(events, (at, next(order), again))
+                heapq.heappush(events, (at, next(sequence), retry))
 
     while events:
         now, _, event = heapq.heappop(events)
@@ -132,18 +133,21 @@
                 now + event.deadline_s,
             )
             tickets[ticket] = event
-            take(gate.arrive(ticket, now), now)
+            apply(gate.arrive(ticket, now), now)
         else:
-            one = tickets.pop(event)
-            word = IN_TIME if now <= event.deadline + 1e-9 else LATE
-            received.append(Received(one, word, now - one.at))
-            take(gate.finish(event, now), now)
-    assert not tickets, 'a request got no word at all'
+            request = tickets.pop(event)
+            outcome = IN_TIME if now <= event.deadline + 1e-9 else LATE
+            received.append(Received(request, outcome, now - request.at))
+            apply(gate.finish(event, now), now)
+    assert not tickets, 'a request got no outcome'
     return received
 
 
-def share(received: Iterable[Received], word: str, **of: object) -> float:
-    """Return which share of the requests `of` that kind got `word`."""
+def share(received: Iterable[Received], outcome: str, **of: object) -> float:
+    """Return the share of requests with the outcome.
+
+    :param of: attributes by which requests are selected.
+    """
     chosen = [
         one
         for one in received
@@ -151,10 +155,10 @@
             getattr(one.request, name) == value for name, value in of.items()
         )
     ]
-    return sum(one.outcome == word for one in chosen) / len(chosen)
+    return sum(one.outcome == outcome for one in chosen) / len(chosen)
 
 
-def quantile(received: Iterable[Received], word: str, q: float) -> float:
-    """Return the `q` quantile of the time until `word` was received."""
-    times = sorted(one.after_s for one in received if one.outcome == word)
+def quantile(received: Iterable[Received], outcome: str, q: float) -> float:
+    """Return the `q` quantile of the time until the outcome."""
+    times = sorted(one.after_s for one in received if one.outcome == outcome)
     return times[min(len(times) - 1, int(q * len(times)))] if times else 0.0
--- a/testing/orders.py
+++ b/testing/orders.py
@@ -1,4 +1,4 @@
-"""Orders as a guard gets them, for tests of the slots' queue."""
+"""Orders as a guard receives them, for tests of the slot queue."""
 
 from peridotpost.model import forwarding
 
@@ -12,7 +12,7 @@
     last: bool = False,
     route: str = '',
 ) -> forwarding.Order:
-    """Return an order; without a route, one of its own by rank."""
+    """Return an order; without a route it gets one named after its rank."""
     return forwarding.Order(
         number=number,
         service='register',
--- a/testing/routeload.py
+++ b/testing/routeload.py
@@ -1,7 +1,7 @@
-"""Drives target choice and ejection with calls on a clock of its own.
+"""Load generator for load balancing and ejection on a simulated clock.
 
-Several ingress daemons, each with its own view, send to targets behind
-real gates; what counts is what callers receive.
+Several ingress daemons, each with its own state, send calls to targets behind
+real admission control.  Tests judge what callers receive.
 """
 
 import collections
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(slots=True)
 class FakeTarget:
-    """How a target behaves; times in seconds.
+    """Behaviour of a target; times in seconds.
 
-    :param fails_after_s: it fails each call after so long, if set.
+    :param fails_after_s: if set, each call fails after this time.
     :param unreachable: each call is refused as unreachable.
-    :param ends_at: from then on it is well.
+    :param recovers_at: time from which the target is healthy.
     """
 
     endpoint: routing.Endpoint
@@ -52,27 +52,27 @@
 
 
 class Ingress:
-    """One daemon's choice; subclasses are the baselines."""
+    """Load balancing of one daemon; subclasses are the baselines."""
 
     def __init__(self, zone: str, randomness: random.Random) -> None:
         self.zone = zone
         self.randomness = randomness
-        self.book = choice.LoadBook()
+        self.loads = choice.LoadBook()
         self.ejector = ejection.Ejector(zone, randomness)
 
     def choose(
         self, endpoints: list[routing.Endpoint], now: float
     ) -> routing.Endpoint:
-        out = self.ejector.excluded(map(subject, endpoints), now)
-        found = choice.choose(
-            endpoints, self.zone, self.book, out, now, self.randomness
+        excluded = self.ejector.excluded(map(target_id, endpoints), now)
+        chosen = choice.choose(
+            endpoints, self.zone, self.loads, excluded, now, self.randomness
         )
-        assert found is not None
-        return found
+        assert chosen is not None
+        return chosen
 
 
 class RandomIngress(Ingress):
-    """Baseline: any target, whatever is known of it."""
+    """Baseline: a random target."""
 
     def choose(
         self, endpoints: list[routing.Endpoint], now: float
@@ -81,34 +81,34 @@
 
 
 class NoEjection(Ingress):
-    """Baseline: by load alone."""
+    """Baseline: load balancing without ejection."""
 
     def choose(
         self, endpoints: list[routing.Endpoint], now: float
     ) -> routing.Endpoint:
-        found = choice.choose(
-            endpoints, self.zone, self.book, (), now, self.randomness
+        chosen = choice.choose(
+            endpoints, self.zone, self.loads, (), now, self.randomness
         )
-        assert found is not None
-        return found
+        assert chosen is not None
+        return chosen
 
 
-def subject(one: routing.Endpoint) -> ejection.Subject:
+def target_id(endpoint: routing.Endpoint) -> ejection.Subject:
     return ejection.Subject(
-        choice.key_of(one), one.host, one.availability_zone
+        choice.key_of(endpoint), endpoint.host, endpoint.availability_zone
     )
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """What callers received, and which target got how many calls."""
+    """Outcomes of the calls, and their number by target."""
 
     outcomes: collections.Counter[str]
     calls: collections.Counter[str]
     latest: collections.Counter[str]
 
-    def share(self, word: str) -> float:
-        return self.outcomes[word] / self.outcomes.total()
+    def share(self, outcome: str) -> float:
+        return self.outcomes[outcome] / self.outcomes.total()
 
     def share_of(self, number: int) -> float:
         return self.calls[f'h{number}'] / self.calls.total()
@@ -130,7 +130,7 @@
     load: float = 0.6,
     seconds: float = 4.0,
 ) -> Run:
-    """Send at `load` of the capacity that the targets have when well."""
+    """Send calls at `load` times the capacity of the healthy targets."""
     randomness = random.Random(7)
     ingresses = [make(zone, randomness) for zone in zones]
     endpoints = [one.endpoint for one in targets]
@@ -142,44 +142,46 @@
     run = Run(
         collections.Counter(), collections.Counter(), collections.Counter()
     )
-    order = itertools.count()
+    sequence = itertools.count()
     open_calls: dict[fairness.Ticket, Call] = {}
     rate = load * len(targets) * SLOTS / WORK_S
     events: list[tuple[float, int, fairness.Ticket | None]] = [
-        (one.at, next(order), None)
-        for one in gateload.poisson(
+        (request.at, next(sequence), None)
+        for request in gateload.poisson(
             rate, seconds, 3, work_s=WORK_S, deadline_s=DEADLINE_S
         )
     ]
     heapq.heapify(events)
 
     def end(call: Call, outcome: calls.Outcome, now: float) -> None:
-        one = call.target.endpoint
-        key = choice.key_of(one)
-        call.ingress.book.settled(key)
-        call.ingress.book.report(key, gates[one.host].load(), now)
-        others = [choice.key_of(it) for it in endpoints if it is not one]
-        verdict = ejection.verdict_of(outcome)
-        call.ingress.ejector.note(subject(one), verdict, others, now)
+        called = call.target.endpoint
+        key = choice.key_of(called)
+        call.ingress.loads.settled(key)
+        call.ingress.loads.report(key, gates[called.host].load(), now)
+        others = [
+            choice.key_of(other) for other in endpoints if other is not called
+        ]
+        signal = ejection.verdict_of(outcome)
+        call.ingress.ejector.note(target_id(called), signal, others, now)
         late = now > call.ticket.deadline + 1e-9
         if isinstance(outcome, calls.NotRun):
             unreachable = outcome.reason is calls.NotRunReason.UNREACHABLE
             run.outcomes[FAILED if unreachable else REFUSED] += 1
-        elif verdict is ejection.CallSignal.GOOD and not late:
+        elif signal is ejection.CallSignal.GOOD and not late:
             run.outcomes[GOOD] += 1
         else:
             run.outcomes[FAILED] += 1
 
-    def take(step: admission.Step, now: float) -> None:
-        for ticket in step.started:
+    def apply(decision: admission.Step, now: float) -> None:
+        for ticket in decision.started:
             call = open_calls[ticket]
-            well = now >= call.target.recovers_at
-            takes = WORK_S if well else call.target.work_s
-            if call.target.fails_after_s is not None and not well:
+            healthy = now >= call.target.recovers_at
+            run_s = WORK_S if healthy else call.target.work_s
+            if call.target.fails_after_s is not None and not healthy:
                 call.failing = True
-                takes = call.target.fails_after_s
-            heapq.heappush(events, (now + takes, next(order), ticket))
-        for ticket in step.refused:
+                run_s = call.target.fails_after_s
+            heapq.heappush(events, (now + run_s, next(sequence), ticket))
+        for ticket in decision.refused:
             full = calls.NotRun(calls.NotRunReason.FULL, '')
             end(open_calls.pop(ticket), full, now)
 
@@ -188,7 +190,7 @@
         if event is not None:
             call = open_calls.pop(event)
             host = call.target.endpoint.host
-            take(gates[host].finish(event, now), now)
+            apply(gates[host].finish(event, now), now)
             status = 500 if call.failing else 200
             end(call, calls.Answer(status, '', (), b''), now)
             continue
@@ -199,14 +201,14 @@
         run.calls[chosen.host] += 1
         if now > seconds / 2:
             run.latest[chosen.host] += 1
-        ingress.book.sent(key)
+        ingress.loads.sent(key)
         ingress.ejector.trying(key, now)
         ticket = fairness.Ticket('', '', gateload.SHORT, now, now + DEADLINE_S)
         call = Call(ingress, target, ticket, False)
         if target.unreachable and now < target.recovers_at:
-            cut = calls.NotRun(calls.NotRunReason.UNREACHABLE, '')
-            end(call, cut, now)
+            unreachable = calls.NotRun(calls.NotRunReason.UNREACHABLE, '')
+            end(call, unreachable, now)
             continue
         open_calls[ticket] = call
-        take(gates[chosen.host].arrive(ticket, now), now)
+        apply(gates[chosen.host].arrive(ticket, now), now)
     return run
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission at a target's gate, judged by what callers receive."""
+"""Admission control of one target, judged by what callers receive."""
 
 import dataclasses
 import random
@@ -12,7 +12,7 @@
 SLOTS = 12
 WORK_S = 0.02
 CAPACITY = SLOTS / WORK_S
-"""Requests a second that the target of these tests can run."""
+"""Requests per second that the tested target can run."""
 
 
 def gate(queue: int = 64) -> admission.Gate:
@@ -26,7 +26,7 @@
 
 
 def slow_target() -> list[gateload.Request]:
-    """Four fifths of the capacity, until each run takes ten times as long."""
+    """Load of 80% of the capacity; after 1 s runs take ten times as long."""
     return [
         dataclasses.replace(one, work_s=WORK_S if one.at < 1 else 0.2)
         for one in surge(0.8)
@@ -41,8 +41,8 @@
     ('requests', 'least_in_time', 'least_gain'),
     [
         pytest.param(burst(60), 1.0, 0.0, id='burst-that-fits'),
-        # The margin on estimates costs a twentieth of a burst too large;
-        # in exchange those that will be late hear of it at once.
+        # The safety factor of estimates costs 5% of an excessive burst.  In
+        # return, requests that would be late are refused at once.
         pytest.param(burst(600), 0.45, -0.05, id='burst-too-large'),
         pytest.param(surge(0.8), 1.0, 0.0, id='below-capacity'),
         pytest.param(surge(2), 0.48, 0.2, id='overload-2x'),
@@ -55,11 +55,11 @@
     least_in_time: float,
     least_gain: float,
 ) -> None:
-    """A surge arrives at a target that has twelve slots.
+    """Guards against late answers when a surge hits twelve slots.
 
-    First come, first served, the queue grows until its head has waited a
-    whole deadline; from then on every caller gets a late answer, though
-    the target works all the time.
+    First come, first served, the queue grows until its head has waited for
+    its whole deadline.  From then on all answers are late although the target
+    is fully used.
     """
     fifo = gateload.drive(gateload.PlainFifo(SLOTS), requests)
     gated = gateload.drive(gate(queue=512), requests)
@@ -68,7 +68,7 @@
     assert in_time >= gateload.share(fifo, gateload.IN_TIME) + least_gain
     late = gateload.share(gated, gateload.LATE)
     assert late <= gateload.share(fifo, gateload.LATE) / 50
-    # A fifth of the deadline; most are refused in the instant they ask.
+    # A fifth of the deadline; most requests are refused on arrival.
     assert gateload.quantile(gated, gateload.REFUSED, 0.99) <= 0.2
 
 
@@ -82,18 +82,19 @@
 def test_target_that_looked_too_slow_is_tried_again(
     work_s: float, deadline_s: float
 ) -> None:
-    """A target was slow for a while, or was never measured.
+    """Guards against an estimate that locks out all requests.
 
-    By the estimate no call can be in time; if none were run, the estimate
-    would stay as it is, and the service be down for good.
+    A target was slow for a while, or was never measured, so by the estimate
+    no call can be in time.  If none were run, the estimate would never change
+    and the service would stay down.
     """
     slow = [
         gateload.Request(at / 10, work_s, 10.0 if work_s > 1 else deadline_s)
         for at in range(50)
     ]
-    later = gateload.poisson(200, 10, 1, work_s=0.001, deadline_s=deadline_s)
-    later = [dataclasses.replace(one, at=20 + one.at) for one in later]
-    received = gateload.drive(gate(), [*slow, *later])
+    fast = gateload.poisson(200, 10, 1, work_s=0.001, deadline_s=deadline_s)
+    fast = [dataclasses.replace(one, at=20 + one.at) for one in fast]
+    received = gateload.drive(gate(), [*slow, *fast])
     last = [one for one in received if one.request.at > 25]
     assert gateload.share(last, gateload.IN_TIME) >= 0.99
 
@@ -101,23 +102,23 @@
 def test_newest_first_keeps_answers_fresh_under_overload(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Overload lasts, and the queue with it.
+    """Guards against long waits under sustained overload.
 
-    In order, whoever is served has waited in a queue that is always full;
-    newest first, half of the answers need no more than the work itself,
-    and as many are in time.
+    Served in order, each request has waited in a queue that is always full.
+    Newest first, half of the answers take no longer than the work itself, and
+    as many answers are in time.
     """
     requests = surge(2)
-    fresh = gateload.drive(gate(), requests)
+    newest_first = gateload.drive(gate(), requests)
     monkeypatch.setattr(admission, 'OVERLOAD_AFTER_S', 1e9)
     in_order = gateload.drive(gate(), requests)
-    for word, q in ((gateload.IN_TIME, 0.5), (gateload.IN_TIME, 0.99)):
-        ours = gateload.quantile(fresh, word, q)
-        assert ours < gateload.quantile(in_order, word, q) / 2
-    # In order, the queue that stands at the end is served after it.
-    assert gateload.share(fresh, gateload.IN_TIME) >= 0.97 * gateload.share(
-        in_order, gateload.IN_TIME
-    )
+    for outcome, q in ((gateload.IN_TIME, 0.5), (gateload.IN_TIME, 0.99)):
+        time_s = gateload.quantile(newest_first, outcome, q)
+        assert time_s < gateload.quantile(in_order, outcome, q) / 2
+    # In order, what is queued when the arrivals end is still served.
+    assert gateload.share(
+        newest_first, gateload.IN_TIME
+    ) >= 0.97 * gateload.share(in_order, gateload.IN_TIME)
 
 
 def jobs(rate: float, work_s: float) -> list[gateload.Request]:
@@ -138,9 +139,9 @@
 @pytest.mark.parametrize(
     ('long', 'short', 'least_long', 'least_short'),
     [
-        # 20 slots' worth of long jobs on 12: they get their nine slots.
+        # Long jobs that need 20 of 12 slots get nine slots.
         pytest.param(jobs(4, 5.0), reads(60), 0.5, 0.98, id='jobs-surge'),
-        # 1.7 times the capacity in reads: the jobs keep their quarter.
+        # With reads at 1.7 times the capacity, jobs keep their quarter.
         pytest.param(jobs(1, 2.0), reads(1000), 0.98, 0.45, id='reads-surge'),
     ],
 )
@@ -150,10 +151,11 @@
     least_long: float,
     least_short: float,
 ) -> None:
-    """Jobs of seconds share a target with reads of milliseconds.
+    """Guards against one work class taking all slots from the other.
 
-    Without a reserve the jobs hold every slot and the reads' deadlines
-    pass; served by urgency alone, a flood of reads shuts the jobs out.
+    Jobs of seconds share a target with reads of milliseconds.  Without
+    reserved slots the jobs occupy all of them and the reads miss their
+    deadlines.  Ordered by urgency alone, a surge of reads starves the jobs.
     """
     requests = [*long, *short]
     fifo = gateload.drive(gateload.PlainFifo(SLOTS), requests)
@@ -169,27 +171,28 @@
 
 
 def test_long_jobs_take_every_slot_where_no_reads_come() -> None:
-    one = gate()
+    tested = gate()
     tickets = [
         fairness.Ticket('a', str(i), gateload.LONG, 0.0, 60.0)
         for i in range(SLOTS)
     ]
-    assert all(one.arrive(ticket, 0.0).started for ticket in tickets)
+    assert all(tested.arrive(ticket, 0.0).started for ticket in tickets)
 
 
 def test_refused_callers_come_back_at_the_drain_rate() -> None:
-    """Six hundred callers are refused in one instant.
+    """Guards against a synchronized return of refused callers.
 
-    Told the same time, they would return together and be refused again.
+    Six hundred callers are refused at once.  With the same retry time for all
+    they would return together and be refused again.
     """
-    one = gate(queue=0)
-    times = [one.retry_after_ms(0.0) for _ in range(600)]
+    tested = gate(queue=0)
+    times_ms = [tested.retry_after_ms(0.0) for _ in range(600)]
     drain_ms = 1000 * 600 / CAPACITY
     windows = [0] * 40
-    for time in times:
-        windows[min(39, int(time // (drain_ms / 10)))] += 1
+    for time_ms in times_ms:
+        windows[min(39, int(time_ms // (drain_ms / 10)))] += 1
     assert max(windows) <= 2 * 600 / 10
-    assert max(times) >= drain_ms
+    assert max(times_ms) >= drain_ms
 
 
 @pytest.mark.parametrize(
@@ -203,16 +206,17 @@
 def test_callers_who_come_back_when_told_are_served_with_few_refusals(
     requests: list[gateload.Request],
 ) -> None:
-    """Refused callers send again, up to ten times.
+    """Checks that the retry time given to refused callers pays off.
 
-    Told when, all are served, each refused about once; coming back every
-    50 ms they are refused in heaps, and many give up unserved.
+    Refused callers make up to ten attempts.  At the time they were told, all
+    are served after about one refusal each.  With a retry every 50 ms they
+    are refused many times, and many give up unserved.
     """
-    told = gate()
-    by_us = gateload.drive(
-        told, requests, lambda now: told.retry_after_ms(now) / 1000
+    tested = gate()
+    as_told = gateload.drive(
+        tested, requests, lambda now: tested.retry_after_ms(now) / 1000
     )
-    own = gateload.drive(gate(), requests, lambda now: 0.05)
+    every_50_ms = gateload.drive(gate(), requests, lambda now: 0.05)
 
     def served(received: list[gateload.Received]) -> int:
         return sum(one.outcome == gateload.IN_TIME for one in received)
@@ -220,39 +224,39 @@
     def refused(received: list[gateload.Received]) -> int:
         return sum(one.outcome == gateload.REFUSED for one in received)
 
-    assert served(by_us) >= 0.99 * len(requests)
-    assert served(by_us) >= served(own)
-    assert refused(by_us) <= refused(own) / 2
+    assert served(as_told) >= 0.99 * len(requests)
+    assert served(as_told) >= served(every_50_ms)
+    assert refused(as_told) <= refused(every_50_ms) / 2
 
 
 def test_waiting_request_is_refused_once_it_cannot_make_it() -> None:
-    """The target turns slow while a request waits.
+    """A queued request is refused before its deadline if it can't meet it.
 
-    The next end of a run shows it: the request is refused then, not at
-    its deadline.
+    The target becomes slow while the request is queued, which the end of the
+    next run shows.
     """
-    one = admission.Gate(1, 8, random.Random(1))
+    tested = admission.Gate(1, 8, random.Random(1))
     first = fairness.Ticket('a', '1', gateload.SHORT, 0.0, 100.0)
     second = fairness.Ticket('a', '2', gateload.SHORT, 0.0, 1.0)
-    assert one.arrive(first, 0.0).started == (first,)
-    assert one.arrive(second, 0.0) == admission.Step()
-    assert one.finish(first, 0.95).refused == (second,)
-    assert one.running == one.waiting == 0
+    assert tested.arrive(first, 0.0).started == (first,)
+    assert tested.arrive(second, 0.0) == admission.Step()
+    assert tested.finish(first, 0.95).refused == (second,)
+    assert tested.running == tested.waiting == 0
 
 
-@pytest.mark.parametrize('events', range(5))
-def test_gate_never_exceeds_its_slots_and_forgets_nobody(events: int) -> None:
-    """Arrivals, ends and departures in random order, all accounted for."""
-    randomness = random.Random(events)
-    one = admission.Gate(3, 4, randomness)
+@pytest.mark.parametrize('seed', range(5))
+def test_gate_never_exceeds_its_slots_and_forgets_nobody(seed: int) -> None:
+    """Arrivals, ends and withdrawals in random order are all accounted for."""
+    randomness = random.Random(seed)
+    tested = admission.Gate(3, 4, randomness)
     waiting: set[fairness.Ticket] = set()
     running: set[fairness.Ticket] = set()
     now = 0.0
     for number in range(2000):
         now += randomness.expovariate(100)
-        step = admission.Step()
-        act = randomness.random()
-        if act < 0.5:
+        decision = admission.Step()
+        event = randomness.random()
+        if event < 0.5:
             ticket = fairness.Ticket(
                 randomness.choice('abc'),
                 randomness.choice('xyz'),
@@ -261,18 +265,18 @@
                 now + randomness.uniform(0, 0.5),
             )
             waiting.add(ticket)
-            step = one.arrive(ticket, now)
-        elif act < 0.9 and running:
-            ended = min(running, key=lambda it: it.arrived)
+            decision = tested.arrive(ticket, now)
+        elif event < 0.9 and running:
+            ended = min(running, key=lambda one: one.arrived)
             running.remove(ended)
-            step = one.finish(ended, now)
+            decision = tested.finish(ended, now)
         elif waiting:
-            gone = max(waiting, key=lambda it: it.arrived)
-            waiting.remove(gone)
-            one.withdraw(gone)
-        assert waiting.issuperset(step.started)
-        assert waiting.issuperset(step.refused)
-        waiting.difference_update(step.started, step.refused)
-        running.update(step.started)
-        assert len(running) == one.running <= 3
-        assert len(waiting) == one.waiting <= 8, number
+            withdrawn = max(waiting, key=lambda one: one.arrived)
+            waiting.remove(withdrawn)
+            tested.withdraw(withdrawn)
+        assert waiting.issuperset(decision.started)
+        assert waiting.issuperset(decision.refused)
+        waiting.difference_update(decision.started, decision.refused)
+        running.update(decision.started)
+        assert len(running) == tested.running <= 3
+        assert len(waiting) == tested.waiting <= 8, number
--- a/testing/test_choice.py
+++ b/testing/test_choice.py
@@ -1,4 +1,4 @@
-"""Target choice, judged by what callers receive."""
+"""Load balancing of calls, judged by what callers receive."""
 
 from collections.abc import Callable
 import random
@@ -12,20 +12,20 @@
 Targets = Callable[[], list[routeload.FakeTarget]]
 
 
-def well(count: int = 4, zone: str = 'a') -> list[routeload.FakeTarget]:
+def healthy(count: int = 4, zone: str = 'a') -> list[routeload.FakeTarget]:
     return [
         routeload.FakeTarget(routeload.endpoint(n, zone)) for n in range(count)
     ]
 
 
 def slow() -> list[routeload.FakeTarget]:
-    targets = well()
+    targets = healthy()
     targets[0].work_s = 10 * routeload.WORK_S
     return targets
 
 
 def cold() -> list[routeload.FakeTarget]:
-    targets = well()
+    targets = healthy()
     targets[0] = routeload.FakeTarget(
         routeload.endpoint(0, cold=True), 5 * routeload.WORK_S
     )
@@ -35,8 +35,8 @@
 @pytest.mark.parametrize(
     ('make', 'least_good', 'most_to_first'),
     [
-        pytest.param(well, 1.0, 0.3, id='all-well'),
-        # It can run 0.1 of what the others run, and gets little more.
+        pytest.param(healthy, 1.0, 0.3, id='all-well'),
+        # It has a tenth of the others' capacity and gets little more calls.
         pytest.param(slow, 0.99, 0.06, id='slow-target'),
         pytest.param(cold, 0.99, 0.12, id='cold-target'),
     ],
@@ -44,99 +44,101 @@
 def test_calls_go_where_they_are_answered_in_time(
     make: Targets, least_good: float, most_to_first: float
 ) -> None:
-    """One of four targets is slow or cold; eight daemons send to all.
+    """Guards against excess calls to a slow or cold target.
 
-    Chosen at random it gets a quarter of the calls, and what it cannot
-    run is refused or late, though the others have slots free.
+    Eight daemons send to four targets.  With random targets a quarter of the
+    calls goes to the slow one; what it can't run is refused or late although
+    the others have free slots.
     """
-    ours = routeload.drive(make(), routeload.Ingress)
+    balanced = routeload.drive(make(), routeload.Ingress)
     baseline = routeload.drive(make(), routeload.RandomIngress)
-    good = ours.share(routeload.GOOD)
+    good = balanced.share(routeload.GOOD)
     assert good >= least_good
     assert good >= baseline.share(routeload.GOOD)
-    assert ours.share_of(0) <= most_to_first
+    assert balanced.share_of(0) <= most_to_first
 
 
-def test_guards_word_tells_of_calls_that_other_daemons_sent() -> None:
-    """Forty daemons have a call or two outstanding each.
+def test_load_report_covers_calls_of_other_daemons() -> None:
+    """Guards against load balancing by local counts alone.
 
-    By its own count alone each sees empty targets, the slow one as well.
+    Each of forty daemons has one or two outstanding calls, so by its own count
+    all targets look idle, including the slow one.
     """
     zones = ('a',) * 40
 
-    class Deaf(routeload.Ingress):
+    class WithoutReports(routeload.Ingress):
         def choose(
             self, endpoints: list[routing.Endpoint], now: float
         ) -> routing.Endpoint:
-            self.book.reports.clear()
+            self.loads.reports.clear()
             return super().choose(endpoints, now)
 
-    ours = routeload.drive(slow(), routeload.Ingress, zones=zones)
-    deaf = routeload.drive(slow(), Deaf, zones=zones)
-    refused = ours.share(routeload.REFUSED)
-    assert refused <= deaf.share(routeload.REFUSED) / 2
+    with_reports = routeload.drive(slow(), routeload.Ingress, zones=zones)
+    without = routeload.drive(slow(), WithoutReports, zones=zones)
+    refused = with_reports.share(routeload.REFUSED)
+    assert refused <= without.share(routeload.REFUSED) / 2
 
 
-def test_lying_load_page_attracts_no_calls() -> None:
-    """A slow target's own page says that nothing runs there.
+def test_wrong_load_page_attracts_no_calls() -> None:
+    """Guards against trusting a load page that shows a slow target as idle.
 
-    Whoever believes it sends everything to the target that is worst off.
+    An ingress that reads the page sends all calls to the slowest target.
     """
 
-    class Believer(routeload.Ingress):
+    class TrustsLoadPage(routeload.Ingress):
         def choose(
             self, endpoints: list[routing.Endpoint], now: float
         ) -> routing.Endpoint:
             return endpoints[0]
 
-    ours = routeload.drive(slow(), routeload.Ingress)
-    fooled = routeload.drive(slow(), Believer)
-    assert fooled.share(routeload.GOOD) < 0.2
-    assert ours.share(routeload.GOOD) >= 0.99
+    balanced = routeload.drive(slow(), routeload.Ingress)
+    misled = routeload.drive(slow(), TrustsLoadPage)
+    assert misled.share(routeload.GOOD) < 0.2
+    assert balanced.share(routeload.GOOD) >= 0.99
 
 
 @pytest.mark.parametrize(
-    ('load', 'least_near', 'most_near'),
+    ('load', 'least_local', 'most_local'),
     [
         pytest.param(0.2, 0.97, 1.0, id='zone-has-room'),
-        # Two of four targets are near and can run half of the calls.
+        # Two of four targets are local and can run half of the calls.
         pytest.param(0.9, 0.5, 0.8, id='zone-is-full'),
     ],
 )
 def test_calls_stay_in_the_zone_until_it_is_full(
-    load: float, least_near: float, most_near: float
+    load: float, least_local: float, most_local: float
 ) -> None:
-    """All callers are in one of two zones that have two targets each."""
-    targets = well(2) + [
+    """All callers are in one of two zones with two targets each."""
+    targets = healthy(2) + [
         routeload.FakeTarget(routeload.endpoint(n, 'b')) for n in (2, 3)
     ]
     run = routeload.drive(targets, routeload.Ingress, load=load)
-    assert least_near <= run.share_of(0) + run.share_of(1) <= most_near
+    assert least_local <= run.share_of(0) + run.share_of(1) <= most_local
     assert run.share(routeload.GOOD) >= 0.98
 
 
-def test_warmed_target_gets_its_share_step_by_step() -> None:
-    book = choice.LoadBook()
-    fresh = routeload.endpoint(0, cold=True)
+def test_capacity_of_a_warmed_target_rises_gradually() -> None:
+    tracker = choice.LoadBook()
+    cold = routeload.endpoint(0, cold=True)
     warm = routeload.endpoint(0)
-    book.sent(choice.key_of(fresh))
-    loads = [book.load(fresh, 0.0)]
+    tracker.sent(choice.key_of(cold))
+    loads = [tracker.load(cold, 0.0)]
     loads += [
-        book.load(warm, step * choice.WARM_UP_S / 4) for step in range(5)
+        tracker.load(warm, step * choice.WARM_UP_S / 4) for step in range(5)
     ]
     assert loads == sorted(loads, reverse=True)
     assert loads[1] == loads[0] == pytest.approx(4 * loads[-1])
 
 
-def test_old_report_fades() -> None:
-    book = choice.LoadBook()
-    one = routeload.endpoint(0)
-    book.report(choice.key_of(one), 2.0, 0.0)
-    assert book.load(one, 0.0) == pytest.approx(2.0)
-    half_life = choice.REPORT_HALF_LIFE_S
-    assert book.load(one, half_life) == pytest.approx(1.0)
-    book.forget(2 * choice.RECORD_TTL_S)
-    assert not book.reports
+def test_load_report_decays() -> None:
+    tracker = choice.LoadBook()
+    endpoint = routeload.endpoint(0)
+    tracker.report(choice.key_of(endpoint), 2.0, 0.0)
+    assert tracker.load(endpoint, 0.0) == pytest.approx(2.0)
+    half_life_s = choice.REPORT_HALF_LIFE_S
+    assert tracker.load(endpoint, half_life_s) == pytest.approx(1.0)
+    tracker.forget(2 * choice.RECORD_TTL_S)
+    assert not tracker.reports
 
 
 @pytest.mark.parametrize('count', [0, 1, 2, 5])
@@ -144,14 +146,17 @@
     count: int, randomness: random.Random
 ) -> None:
     endpoints = [routeload.endpoint(n) for n in range(count)]
-    book = choice.LoadBook()
-    left = {choice.key_of(one) for one in endpoints}
+    tracker = choice.LoadBook()
+    remaining = {choice.key_of(endpoint) for endpoint in endpoints}
     excluded: set[str] = set()
-    while left:
-        found = choice.choose(endpoints, 'a', book, excluded, 0.0, randomness)
-        assert found is not None
-        left.remove(choice.key_of(found))
-        excluded.add(choice.key_of(found))
+    while remaining:
+        chosen = choice.choose(
+            endpoints, 'a', tracker, excluded, 0.0, randomness
+        )
+        assert chosen is not None
+        remaining.remove(choice.key_of(chosen))
+        excluded.add(choice.key_of(chosen))
     assert (
-        choice.choose(endpoints, 'a', book, excluded, 0.0, randomness) is None
+        choice.choose(endpoints, 'a', tracker, excluded, 0.0, randomness)
+        is None
     )
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection by outcomes, judged by what callers receive."""
+"""Ejection by outcomes of calls, judged by what callers receive."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 LOST = ejection.CallSignal.LOST
 FAILED = ejection.CallSignal.FAILED
 GOOD = ejection.CallSignal.GOOD
-SILENT = ejection.CallSignal.NEUTRAL
+NEUTRAL = ejection.CallSignal.NEUTRAL
 
 
 def targets(count: int = 4, zone: str = 'a') -> list[routeload.FakeTarget]:
@@ -24,52 +24,56 @@
 
 
 def failing_fast() -> list[routeload.FakeTarget]:
-    held = targets()
-    held[0].fails_after_s = 0.001
-    return held
+    service = targets()
+    service[0].fails_after_s = 0.001
+    return service
 
 
 def unreachable() -> list[routeload.FakeTarget]:
-    held = targets()
-    held[0].unreachable = True
-    return held
+    service = targets()
+    service[0].unreachable = True
+    return service
 
 
-def lost_zone() -> list[routeload.FakeTarget]:
-    held = targets(2) + targets(8, 'b')[2:8]
-    for one in held[-2:]:
-        one.endpoint = routeload.endpoint(int(one.endpoint.host[1:]), 'c')
-        one.unreachable = True
-    return held
+def unreachable_zone() -> list[routeload.FakeTarget]:
+    service = targets(2) + targets(8, 'b')[2:8]
+    for target in service[-2:]:
+        target.endpoint = routeload.endpoint(
+            int(target.endpoint.host[1:]), 'c'
+        )
+        target.unreachable = True
+    return service
 
 
 @pytest.mark.parametrize(
-    ('held', 'load', 'most_failed'),
+    ('make', 'load', 'most_failed'),
     [
         pytest.param(failing_fast, 0.6, 0.02, id='black-hole'),
         pytest.param(unreachable, 0.6, 0.02, id='unreachable-target'),
-        pytest.param(lost_zone, 0.5, 0.02, id='unreachable-zone'),
+        pytest.param(unreachable_zone, 0.5, 0.02, id='unreachable-zone'),
     ],
 )
 def test_callers_do_not_feel_a_bad_target_for_long(
-    held: object, load: float, most_failed: float
+    make: object, load: float, most_failed: float
 ) -> None:
-    """A target fails each call at once, or cannot be reached.
+    """Guards against the "black hole".
 
-    It always looks idle, so that a choice by load alone sends it more and
-    more: the black hole.
+    A target that fails each call at once, or can't be reached, always looks
+    idle, so load balancing alone sends it more and more calls.
     """
-    assert callable(held)
-    ours = routeload.drive(held(), routeload.Ingress, load=load)
-    by_load = routeload.drive(held(), routeload.NoEjection, load=load)
-    assert ours.share(routeload.FAILED) <= most_failed
-    assert ours.share(routeload.FAILED) <= by_load.share(routeload.FAILED) / 5
-
-
-def test_mended_target_comes_back_by_a_trial() -> None:
-    held = failing_fast()
-    held[0].recovers_at = 1.0
-    run = routeload.drive(held, routeload.Ingress, seconds=12.0)
+    assert callable(make)
+    ejecting = routeload.drive(make(), routeload.Ingress, load=load)
+    by_load = routeload.drive(make(), routeload.NoEjection, load=load)
+    assert ejecting.share(routeload.FAILED) <= most_failed
+    assert (
+        ejecting.share(routeload.FAILED) <= by_load.share(routeload.FAILED) / 5
+    )
+
+
+def test_recovered_target_comes_back_by_a_trial() -> None:
+    service = failing_fast()
+    service[0].recovers_at = 1.0
+    run = routeload.drive(service, routeload.Ingress, seconds=12.0)
     assert run.latest['h0'] / run.latest.total() >= 0.2
 
 
@@ -81,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    ('verdicts', 'ejected'),
+    ('signals', 'ejected'),
     [
         pytest.param([GOOD] * 100, False, id='good'),
         pytest.param([LOST] * 3, True, id='lost-in-a-row'),
@@ -89,22 +93,22 @@
         pytest.param([FAILED] * 3, False, id='few-errors'),
         pytest.param([FAILED] * 6, True, id='errors'),
         pytest.param([FAILED, GOOD, GOOD, GOOD] * 50, False, id='some-errors'),
-        # Full, draining and shedding are reasons, not faults.
-        pytest.param([SILENT] * 100, False, id='refusals'),
-        pytest.param([LOST, SILENT] * 3, True, id='lost-among-refusals'),
+        # Being full, draining and shedding are not faults.
+        pytest.param([NEUTRAL] * 100, False, id='refusals'),
+        pytest.param([LOST, NEUTRAL] * 3, True, id='lost-among-refusals'),
     ],
 )
-def test_what_ejects(
-    verdicts: list[ejection.CallSignal], ejected: bool
+def test_signals_that_eject_a_target(
+    signals: list[ejection.CallSignal], ejected: bool
 ) -> None:
-    one = ejection.Ejector('a', random.Random(1))
-    for verdict in verdicts:
-        one.note(SERVICE[0], verdict, OTHERS, 0.0)
-    assert bool(one.excluded(SERVICE, 0.5)) is ejected
+    ejector = ejection.Ejector('a', random.Random(1))
+    for signal in signals:
+        ejector.note(SERVICE[0], signal, OTHERS, 0.0)
+    assert bool(ejector.excluded(SERVICE, 0.5)) is ejected
 
 
 @pytest.mark.parametrize(
-    ('outcome', 'verdict'),
+    ('outcome', 'signal'),
     [
         pytest.param(calls.Answer(200, '', (), b''), GOOD, id='200'),
         pytest.param(calls.Answer(404, '', (), b''), GOOD, id='404'),
@@ -116,109 +120,114 @@
                 {
                     calls.NotRunReason.UNREACHABLE: UNREACHABLE,
                     calls.NotRunReason.TARGET_GONE: LOST,
-                }.get(reason, SILENT),
+                }.get(reason, NEUTRAL),
                 id=reason.value,
             )
             for reason in calls.NotRunReason
         ),
     ],
 )
-def test_what_an_outcome_says_of_its_target(
-    outcome: calls.Outcome, verdict: ejection.CallSignal
+def test_signal_of_an_outcome(
+    outcome: calls.Outcome, signal: ejection.CallSignal
 ) -> None:
-    assert ejection.verdict_of(outcome) is verdict
+    assert ejection.verdict_of(outcome) is signal
 
 
 def test_none_is_ejected_where_all_fail_alike() -> None:
-    """The service behind all targets is down, and all answer 500.
+    """Guards against ejection for a fault that all targets share.
 
-    To eject half of them would double the load of the rest for nothing.
+    All targets answer 500 because a service that they depend on is down.
+    Ejecting half of them would only double the load of the rest.
     """
-    one = ejection.Ejector('a', random.Random(1))
+    ejector = ejection.Ejector('a', random.Random(1))
     for _ in range(50):
-        for subject in SERVICE:
-            others = [it.key for it in SERVICE if it is not subject]
-            one.note(subject, FAILED, others, 0.0)
-    assert one.excluded(SERVICE, 0.5) == set()
+        for target in SERVICE:
+            others = [other.key for other in SERVICE if other is not target]
+            ejector.note(target, FAILED, others, 0.0)
+    assert ejector.excluded(SERVICE, 0.5) == set()
 
 
 @pytest.mark.parametrize('lost', range(7))
 def test_at_most_half_are_ejected(lost: int) -> None:
-    one = ejection.Ejector('a', random.Random(1))
-    for at, subject in enumerate(SERVICE[:lost]):
+    ejector = ejection.Ejector('a', random.Random(1))
+    for at, target in enumerate(SERVICE[:lost]):
         for _ in range(3):
-            one.note(subject, LOST, OTHERS, at / 100)
-    first = {subject.key for subject in SERVICE[: min(lost, 3)]}
-    assert one.excluded(SERVICE, 0.5) == first
+            ejector.note(target, LOST, OTHERS, at / 100)
+    first = {target.key for target in SERVICE[: min(lost, 3)]}
+    assert ejector.excluded(SERVICE, 0.5) == first
 
 
 def test_one_trial_at_a_time_and_longer_pauses_in_between() -> None:
-    one = ejection.Ejector('a', random.Random(1))
-    subject = SERVICE[0]
+    ejector = ejection.Ejector('a', random.Random(1))
+    target = SERVICE[0]
     for _ in range(3):
-        one.note(subject, LOST, OTHERS, 0.0)
+        ejector.note(target, LOST, OTHERS, 0.0)
     now = 0.0
-    pauses = []
+    pauses_s = []
     for _ in range(4):
-        began = now
-        while one.excluded(SERVICE, now):
+        ejected_at = now
+        while ejector.excluded(SERVICE, now):
             now += 0.01
-        pauses.append(now - began)
-        one.trying(subject.key, now)
-        assert one.excluded(SERVICE, now) == {subject.key}
-        one.note(subject, LOST, OTHERS, now + 0.001)
+        pauses_s.append(now - ejected_at)
+        ejector.trying(target.key, now)
+        assert ejector.excluded(SERVICE, now) == {target.key}
+        ejector.note(target, LOST, OTHERS, now + 0.001)
         now += 0.001
-    assert all(a < b for a, b in zip(pauses, pauses[1:], strict=False))
+    assert all(a < b for a, b in zip(pauses_s, pauses_s[1:], strict=False))
     now += 100.0
-    one.trying(subject.key, now)
-    one.note(subject, GOOD, OTHERS, now)
-    assert one.excluded(SERVICE, now) == set()
+    ejector.trying(target.key, now)
+    ejector.note(target, GOOD, OTHERS, now)
+    assert ejector.excluded(SERVICE, now) == set()
 
 
-def test_trial_that_is_never_heard_of_again_blocks_no_later_one() -> None:
-    one = ejection.Ejector('a', random.Random(1))
+def test_trial_without_an_outcome_does_not_block_later_ones() -> None:
+    ejector = ejection.Ejector('a', random.Random(1))
     for _ in range(3):
-        one.note(SERVICE[0], LOST, OTHERS, 0.0)
-    one.trying(SERVICE[0].key, 2.0)
-    assert one.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S - 0.1)
-    assert not one.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S + 0.1)
+        ejector.note(SERVICE[0], LOST, OTHERS, 0.0)
+    ejector.trying(SERVICE[0].key, 2.0)
+    assert ejector.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S - 0.1)
+    assert not ejector.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S + 0.1)
 
 
-def test_zone_is_left_alone_after_two_of_its_hosts_were_unreachable() -> None:
-    """A zone is cut off; each call into it costs a connection timeout.
+def test_zone_is_excluded_after_two_of_its_hosts_were_unreachable() -> None:
+    """Guards against a connection timeout for each call into a cut-off zone.
 
-    Two lost calls tell of all its hosts; one that gets through clears it.
+    Two unreachable hosts exclude the whole zone; a call that reaches one of
+    its hosts includes it again.
     """
-    far = SERVICE[4:]
-    one = ejection.Ejector('a', random.Random(1))
-    one.note(far[0], UNREACHABLE, OTHERS, 0.0)
-    assert one.excluded(SERVICE, 0.1) == set()
-    one.note(far[1], UNREACHABLE, OTHERS, 0.1)
-    assert one.excluded(SERVICE, 0.2) == {it.key for it in far}
-    one.note(far[1], SILENT, OTHERS, 0.3)
-    assert one.excluded(SERVICE, 0.4) == set()
-    # Targets that are gone from reachable hosts say nothing of a zone.
-    for subject in far:
-        one.note(subject, LOST, OTHERS, 0.5)
-    assert one.excluded(SERVICE, 0.6) == set()
-
-
-def test_own_zone_is_never_given_up_as_a_whole() -> None:
-    one = ejection.Ejector('a', random.Random(1))
-    for subject in SERVICE[:4]:
-        one.note(subject, UNREACHABLE, OTHERS, 0.0)
-    assert one.excluded(SERVICE, 0.1) == set()
-
-
-def test_records_of_targets_long_gone_are_dropped() -> None:
-    one = ejection.Ejector('a', random.Random(1))
-    one.note(SERVICE[0], LOST, OTHERS, 0.0)
-    one.forget(2 * ejection.RECORD_TTL_S)
-    assert not one.records
+    remote = SERVICE[4:]
+    ejector = ejection.Ejector('a', random.Random(1))
+    ejector.note(remote[0], UNREACHABLE, OTHERS, 0.0)
+    assert ejector.excluded(SERVICE, 0.1) == set()
+    ejector.note(remote[1], UNREACHABLE, OTHERS, 0.1)
+    assert ejector.excluded(SERVICE, 0.2) == {one.key for one in remote}
+    ejector.note(remote[1], NEUTRAL, OTHERS, 0.3)
+    assert ejector.excluded(SERVICE, 0.4) == set()
+    # Targets that are gone from reachable hosts don't indicate a lost zone.
+    for target in remote:
+        ejector.note(target, LOST, OTHERS, 0.5)
+    assert ejector.excluded(SERVICE, 0.6) == set()
+
+
+def test_own_zone_is_never_excluded_as_a_whole() -> None:
+    ejector = ejection.Ejector('a', random.Random(1))
+    for target in SERVICE[:4]:
+        ejector.note(target, UNREACHABLE, OTHERS, 0.0)
+    assert ejector.excluded(SERVICE, 0.1) == set()
+
+
+def test_old_records_are_dropped() -> None:
+    ejector = ejection.Ejector('a', random.Random(1))
+    ejector.note(SERVICE[0], LOST, OTHERS, 0.0)
+    ejector.forget(2 * ejection.RECORD_TTL_S)
+    assert not ejector.records
 
 
 async def test_router_leaves_out_a_target_that_fails_fast() -> None:
-    """The black hole on real sockets: errors at once from one of two."""
+    """Guards against the "black hole" on real sockets.
+
+    One of two targets answers each call at once with an error.
+    """
 
     async def fails(
         state: callpath.Scripted,
@@ -241,6 +250,6 @@
         front.meet(good)
         statuses = [(await caller.ask('read')).status for _ in range(100)]
         assert set(statuses) == {200, 500}
-        # Six errors in a row eject it; a slow machine may see a trial or
-        # two, a second apart and ever rarer.
+        # Six consecutive errors eject it; on a slow machine one or two trials
+        # may follow, at growing intervals of at least a second.
         assert 6 <= len(bad.requests) <= 10
--- a/testing/test_fairness.py
+++ b/testing/test_fairness.py
@@ -1,4 +1,4 @@
-"""Shares among callers and keys at a full target."""
+"""Fair queueing among callers and keys at a full target."""
 
 import random
 
@@ -24,7 +24,7 @@
         pytest.param(
             [{'caller': 'hot'}], [{'caller': 'b'}], 0.97, id='one-hot-caller'
         ),
-        # All ask the same: no key is hotter, so the callers' shares decide.
+        # All requests have the same key, so the callers' shares decide.
         pytest.param(
             [{'caller': 'hot', 'key': '/'}],
             [{'caller': 'b', 'key': '/'}],
@@ -42,11 +42,11 @@
 def test_others_are_served_beside_a_hot_flow(
     hot: list[dict[str, str]], others: list[dict[str, str]], least: float
 ) -> None:
-    """A hot flow sends three times what the target can run.
+    """Guards against a hot flow that starves the others.
 
-    It is one caller, or all callers about one key; the others need three
-    tenths of the capacity.  First come, first served, they get what is
-    left: late answers.
+    One caller, or all callers about one key, send three times what the target
+    can run; the others need 30% of the capacity.  First come, first served,
+    the others get late answers.
     """
     requests = [
         one
@@ -63,15 +63,16 @@
     for of in others:
         assert gateload.share(fifo, gateload.IN_TIME, **of) < 0.2
         assert gateload.share(gated, gateload.IN_TIME, **of) >= least
-    # What the others do not use goes to the hot flow, none is wasted.
+    # Capacity that the others don't use goes to the hot flow.
     assert gateload.share(gated, gateload.IN_TIME, **hot[0]) >= 0.18
     assert gateload.share(gated, gateload.LATE) == 0
 
 
-def test_caller_that_was_away_has_saved_up_no_claim() -> None:
-    """One caller is served a thousand times while another is away.
+def test_idle_caller_accumulates_no_credit() -> None:
+    """Guards against a returning caller that blocks all others.
 
-    The other must not then be served a thousand times in a row.
+    One caller is served a thousand times while another is idle.  The other
+    must not be served a thousand times in a row afterwards.
     """
     shares = fairness.FairShares()
     queue = fairness.FairQueue()
@@ -79,27 +80,27 @@
     def ticket(caller: str, at: float) -> fairness.Ticket:
         return fairness.Ticket(caller, caller, gateload.SHORT, at, 9.0)
 
-    shares.start(ticket('back', 0.0), True)
+    shares.start(ticket('returning', 0.0), True)
     for _ in range(1000):
         shares.start(ticket('busy', 0.0), True)
     shares.running_keys.clear()
     for number in range(10):
         queue.push(ticket('busy', number))
-        queue.push(ticket('back', number))
+        queue.push(ticket('returning', number))
     served = []
     for _ in range(10):
-        one = queue.pop(shares, SLOTS, newest_first=False)
-        assert one is not None
-        shares.start(one, True)
-        shares.finish(one)
-        served.append(one.caller)
+        popped = queue.pop(shares, SLOTS, newest_first=False)
+        assert popped is not None
+        shares.start(popped, True)
+        shares.finish(popped)
+        served.append(popped.caller)
     assert served.count('busy') >= 4
 
 
-@pytest.mark.parametrize('standing', [False, True])
-def test_table_of_callers_does_not_grow_for_good(standing: bool) -> None:
+@pytest.mark.parametrize('standing_queue', [False, True])
+def test_table_of_callers_is_bounded(standing_queue: bool) -> None:
     gate = admission.Gate(1, 8, random.Random(1))
-    if standing:
+    if standing_queue:
         for _ in range(2):
             gate.arrive(fairness.Ticket('a', '', gateload.LONG, 0.0, 9.0), 0.0)
     running: tuple[fairness.Ticket, ...] = ()
--- a/testing/test_retry.py
+++ b/testing/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: which, how many, and at how many levels."""
+"""Retries of calls: for which outcomes, how many, and at how many levels."""
 
 import asyncio
 import contextlib
@@ -11,10 +11,10 @@
 
 OK = calls.Answer(200, 'OK', (), b'')
 ERROR = calls.Answer(500, '', (), b'')
-AGAIN = calls.Header('Retry-After', '1')
-MARK = calls.Header('peridot-retried', 'yes')
-SHED = calls.Answer(503, '', (AGAIN,), b'')
-SHED_BELOW = calls.Answer(503, '', (AGAIN, MARK), b'')
+RETRY_AFTER = calls.Header('Retry-After', '1')
+RETRIED = calls.Header('peridot-retried', 'yes')
+SHED = calls.Answer(503, '', (RETRY_AFTER,), b'')
+SHED_BELOW = calls.Answer(503, '', (RETRY_AFTER, RETRIED), b'')
 DOWN = calls.Answer(503, '', (), b'')
 UNKNOWN = calls.OutcomeUnknown('lost')
 FULL = calls.NotRun(calls.NotRunReason.FULL, '')
@@ -27,7 +27,7 @@
         pytest.param(ERROR, False, False, id='error-answer'),
         pytest.param(SHED, True, False, id='shed-by-the-target'),
         pytest.param(SHED_BELOW, False, False, id='retried-further-down'),
-        pytest.param(DOWN, False, False, id='503-that-says-no-when'),
+        pytest.param(DOWN, False, False, id='503-without-retry-after'),
         pytest.param(UNKNOWN, True, False, id='unknown'),
         *(
             pytest.param(
@@ -40,7 +40,7 @@
         ),
     ],
 )
-def test_which_outcomes_are_tried_elsewhere(
+def test_which_outcomes_are_retried(
     outcome: calls.Outcome, idempotent: bool, other: bool
 ) -> None:
     assert retry.may_retry(outcome, True, 1, 100) is idempotent
@@ -50,11 +50,11 @@
 
 
 @pytest.mark.parametrize(
-    ('outcomes', 'told'),
+    ('outcomes', 'expected'),
     [
         pytest.param([FULL, OK], OK, id='refused-then-answered'),
         pytest.param([FULL, FULL], FULL, id='refused-twice'),
-        # The one word that must never be wrong.
+        # "Not run" must never be wrong.
         pytest.param([UNKNOWN, FULL], UNKNOWN, id='unknown-then-refused'),
         pytest.param([FULL, UNKNOWN, FULL], UNKNOWN, id='unknown-between'),
         pytest.param([SHED, FULL], SHED, id='shed-then-refused'),
@@ -62,30 +62,30 @@
         pytest.param([FULL, UNKNOWN], UNKNOWN, id='refused-then-unknown'),
     ],
 )
-def test_caller_is_told_the_word_that_all_attempts_allow(
-    outcomes: list[calls.Outcome], told: calls.Outcome
+def test_outcome_for_the_caller_covers_all_attempts(
+    outcomes: list[calls.Outcome], expected: calls.Outcome
 ) -> None:
-    word: calls.Outcome | None = None
+    combined: calls.Outcome | None = None
     for outcome in outcomes:
-        word = retry.final_of(word, outcome)
-    assert word is told
+        combined = retry.final_of(combined, outcome)
+    assert combined is expected
 
 
 @pytest.mark.parametrize(
     ('count', 'failing', 'least', 'most'),
     [
         pytest.param(10_000, 1.0, 1.1, 1.11, id='all-fail'),
-        # All have both of their retries; none is kept from them.
+        # The budget allows both retries of each failing call.
         pytest.param(10_000, 0.04, 1.08, 1.08, id='few-fail'),
     ],
 )
 def test_retries_add_a_tenth_at_most(
     count: int, failing: float, least: float, most: float
 ) -> None:
-    """Calls fail at each target that they are sent to.
+    """Guards against retries that multiply the load of a failing service.
 
-    Without a budget each of them is sent three times, to a service that
-    cannot even bear them once.
+    Calls fail at each target.  Without a budget each is sent three times to a
+    service that can't even serve it once.
     """
     budget = retry.RetryBudget()
     sent = 0
@@ -131,10 +131,10 @@
 
 
 async def test_unknown_then_refused_is_told_as_unknown() -> None:
-    """The first target dies under a read, and the second is leaving.
+    """Guards against "not run" for a call that may have run.
 
-    The refusal of the second was passed on as "not run", though the first
-    had it.
+    The first target dies during a read and the second is leaving.  The
+    refusal of the second was returned although the first had got the call.
     """
 
     async def dies(
@@ -165,7 +165,7 @@
 
 
 def chain_text() -> str:
-    """Return a text in which each service calls the next."""
+    """Return a configuration in which each service calls the next one."""
     lines = ['mesh: chain', 'availability_zones: [a]', 'services:']
     for level in range(LEVELS):
         lines.append(f'  s{level}:')
@@ -177,13 +177,13 @@
 
 
 class Chain:
-    """A target of every service, which passes a call on to the next one.
+    """A target of every service, which calls the next service in the chain.
 
-    It hands the answer back as it came, headers included.
+    It returns the answer unchanged, including the headers.
     """
 
-    def __init__(self, sheds_at: int) -> None:
-        self.sheds_at = sheds_at
+    def __init__(self, shedding_level: int) -> None:
+        self.shedding_level = shedding_level
         self.ports: list[int] = []
         self.budgets: list[int] = []
         self.seen: list[int] = []
@@ -204,15 +204,15 @@
             level = int(headers['host'].removeprefix('s'))
             self.seen.append(level)
             self.budgets.append(int(headers['peridot-timeout-ms']))
-            if level == self.sheds_at:
+            if level == self.shedding_level:
                 writer.write(
                     b'HTTP/1.1 503 Full\r\nRetry-After: 1\r\n'
                     b'Content-Length: 0\r\n\r\n'
                 )
                 continue
             port = self.ports[len(self.seen) % len(self.ports)]
-            async with callpath.caller(port) as down:
-                reply = await down.ask(
+            async with callpath.caller(port) as client:
+                reply = await client.ask(
                     f's{level + 1}',
                     'GET',
                     '/',
@@ -251,7 +251,7 @@
 
 
 async def test_deadline_is_carried_down_ten_levels_and_no_further() -> None:
-    chain = Chain(sheds_at=-1)
+    chain = Chain(shedding_level=-1)
     reply = await run_chain(chain, 1)
     assert chain.seen == list(range(10))
     assert chain.budgets == sorted(chain.budgets, reverse=True)
@@ -261,12 +261,13 @@
 
 
 async def test_call_shed_at_the_bottom_is_retried_at_one_level_only() -> None:
-    """Five levels, two targets each, and the last level sheds.
+    """Guards against retries that multiply over the levels of a call.
 
-    Every level that tries twice doubles the calls of the level below it:
-    without the mark 32 calls arrive at the level that has no room.
+    There are five levels with two targets each, and the last level sheds.
+    Each level that retries doubles the calls of the next one: without the
+    ``Peridot-Retried`` header 32 calls arrive at the level that sheds.
     """
-    chain = Chain(sheds_at=4)
+    chain = Chain(shedding_level=4)
     reply = await run_chain(chain, 2)
     assert reply.status == 503
     assert reply.header('Peridot-Retried') == 'yes'
