--- a/src/peridotpost/decisions/ejection.py
+++ b/src/peridotpost/decisions/ejection.py
@@ -32,7 +32,7 @@
 from peridotpost.model import calls
 
 CONSECUTIVE_LOSSES = 3
-FAILURE_SHARE = 0.5
+EJECTION_FAILURE_RATE = 0.5
 PEER_RATIO = 2.0
 EWMA_WEIGHT = 1 / 8
 MAX_EJECTED_SHARE = 0.5
@@ -122,31 +122,31 @@
 
     def note(
         self,
-        subject: Subject,
-        verdict: CallSignal,
+        target: Subject,
+        signal: CallSignal,
         others: Iterable[str],
         now: float,
     ) -> None:
-        """Record the outcome of a call to `subject`.
+        """Record the outcome of a call to `target`.
 
         :param others: keys of the same service's other targets; iterated
             only if the failure rate has to be compared.
         """
-        self._note_zone(subject, verdict, now)
-        if verdict is CallSignal.NEUTRAL:
-            record = self.records.get(subject.key)
+        self._note_zone(target, signal, now)
+        if signal is CallSignal.NEUTRAL:
+            record = self.records.get(target.key)
             if record is not None:
                 record.trial_since = None
             return
-        record = self.records.get(subject.key)
+        record = self.records.get(target.key)
         if record is None:
-            if verdict is CallSignal.GOOD:
+            if signal is CallSignal.GOOD:
                 return
-            record = self.records[subject.key] = TargetRecord()
+            record = self.records[target.key] = TargetRecord()
         record.updated_at = now
-        good = verdict is CallSignal.GOOD
+        good = signal is CallSignal.GOOD
         record.failure_rate += EWMA_WEIGHT * ((not good) - record.failure_rate)
-        lost = verdict in (CallSignal.LOST, CallSignal.UNREACHABLE)
+        lost = signal in (CallSignal.LOST, CallSignal.UNREACHABLE)
         record.consecutive_losses = (
             record.consecutive_losses + 1 if lost else 0
         )
@@ -155,20 +155,20 @@
         elif self._should_eject(record, others):
             self._eject(record, now)
         elif good and record.failure_rate < 0.01:
-            del self.records[subject.key]
+            del self.records[target.key]
 
-    def excluded(self, subjects: Iterable[Subject], now: float) -> set[str]:
+    def excluded(self, targets: Iterable[Subject], now: float) -> set[str]:
         """Return the keys of a service's targets that get no calls now."""
         if not self.records and not self.zones:
             return set()
-        known = list(subjects)
+        known = list(targets)
         excluded = [
-            subject for subject in known if self._is_excluded(subject, now)
+            target for target in known if self._is_excluded(target, now)
         ]
         max_excluded = int(len(known) * MAX_EJECTED_SHARE)
         # Earlier failures take precedence: later ones may be a consequence.
         excluded.sort(key=self._excluded_since)
-        return {subject.key for subject in excluded[:max_excluded]}
+        return {target.key for target in excluded[:max_excluded]}
 
     def trying(self, key: str, now: float) -> None:
         """Record a call to `key`, which is a trial if it is ejected."""
@@ -189,7 +189,7 @@
     ) -> bool:
         if record.consecutive_losses >= CONSECUTIVE_LOSSES:
             return True
-        if record.failure_rate < FAILURE_SHARE:
+        if record.failure_rate < EJECTION_FAILURE_RATE:
             return False
         rates = [
             self.records[key].failure_rate if key in self.records else 0.0
@@ -222,16 +222,16 @@
             record.failure_rate = 0.0
 
     def _note_zone(
-        self, subject: Subject, verdict: CallSignal, now: float
+        self, target: Subject, signal: CallSignal, now: float
     ) -> None:
-        zone = subject.availability_zone
+        zone = target.availability_zone
         if zone == self.zone:
             return
-        if verdict is not CallSignal.UNREACHABLE:
+        if signal is not CallSignal.UNREACHABLE:
             self.zones.pop(zone, None)
             return
         record = self.zones.setdefault(zone, ZoneRecord())
-        record.lost.add(subject.host)
+        record.lost.add(target.host)
         if (
             len(record.lost) >= ZONE_UNREACHABLE_HOSTS
             and now >= record.ejected_until
@@ -245,11 +245,11 @@
             record.ejected_at = record.ejected_at or now
             record.ejected_until = now + pause_s * jitter
 
-    def _is_excluded(self, subject: Subject, now: float) -> bool:
-        zone = self.zones.get(subject.availability_zone)
+    def _is_excluded(self, target: Subject, now: float) -> bool:
+        zone = self.zones.get(target.availability_zone)
         if zone is not None and now < zone.ejected_until:
             return True
-        record = self.records.get(subject.key)
+        record = self.records.get(target.key)
         if record is None or not record.ejected:
             return False
         if now < record.ejected_until:
@@ -257,8 +257,8 @@
         trial_since = record.trial_since
         return trial_since is not None and now - trial_since < TRIAL_TIMEOUT_S
 
-    def _excluded_since(self, subject: Subject) -> float:
-        record = self.records.get(subject.key)
+    def _excluded_since(self, target: Subject) -> float:
+        record = self.records.get(target.key)
         if record is not None and record.ejected:
             return record.ejected_at
-        return self.zones[subject.availability_zone].ejected_at
+        return self.zones[target.availability_zone].ejected_at
