--- a/src/peridotpost/decisions/ejection.py
+++ b/src/peridotpost/decisions/ejection.py
@@ -1,26 +1,27 @@
-"""Which targets get no calls for a while, by how calls to them ended.
-
-Load pattern: a target hangs, is cut off, or answers each call at once
-with an error.  The last is the worst: failing fast it always looks idle,
-so that a choice by load sends it nearly everything ("black hole").
-Health pages lag or mislead, so outcomes alone count.
-
-- Lost calls (unreachable, unknown outcome) in a row, or a share of failed
-  calls (lost, or a status of 500 and above) that is high and twice that
-  of the service's other targets, eject a target.  If all fail alike the
-  fault is not one target's, and moving the calls would mend nothing.
-- At most half of a service's targets are ejected at once, the last ones
-  to fail first: less capacity than half turns one fault into an overload.
-- After a pause, which doubles with each ejection in a row, one trial call
+"""Ejection of targets and zones by the outcomes of calls to them.
+
+Load pattern: a target hangs, is cut off, or answers each call at once with an
+error.  The last case is the worst ("black hole"): a target that fails fast
+always looks idle, so load balancing sends it nearly all calls.  Health pages
+lag or are wrong, so only outcomes count.
+
+- A target is ejected after consecutive lost calls (unreachable or unknown
+  outcome), or if its failure rate (lost calls and statuses from 500) is high
+  and twice that of the service's other targets.  If all targets fail alike,
+  the cause is elsewhere and moving the calls would not help.
+- At most half of a service's targets are ejected at once; targets that failed
+  last stay in use.  With less than half of the capacity a single fault would
+  turn into an overload.
+- After a pause, which doubles with each consecutive ejection, one trial call
   is let through; its outcome decides.
-- When ``ZONE_LOST`` hosts of another availability zone were unreachable
-  in a row, with none reached between, the whole zone gets no calls: each
-  call into a cut zone costs its caller a connection timeout.
-
-Grounds for the figures: three in a row happen by chance once in 10^6 at a
-failure rate of 1%; the share moves by 1/8 for each outcome, so that a half
-needs five or more failures; one second is twice the connection timeout,
-30 s is what a crashed target takes to come back.
+- When ``ZONE_UNREACHABLE_HOSTS`` hosts of another availability zone were
+  unreachable and none was reached in between, the whole zone gets no calls:
+  each call into a partitioned zone costs its caller a connection timeout.
+
+Grounds for the figures: at a failure rate of 1%, three consecutive losses
+happen by chance once in 10^6 calls.  The failure rate moves by 1/8 per
+outcome, so it takes at least five failures to reach a half.  One second is
+twice the connection timeout; a crashed target takes 30 s to come back.
 """
 
 from collections.abc import Iterable
@@ -30,50 +31,50 @@
 
 from peridotpost.model import calls
 
-LOST_IN_A_ROW = 3
-FAILURE_SHARE = 0.5
-PEERS_FACTOR = 2.0
-SHARE_WEIGHT = 1 / 8
+CONSECUTIVE_LOSSES = 3
+EJECTION_FAILURE_RATE = 0.5
+PEER_RATIO = 2.0
+EWMA_WEIGHT = 1 / 8
 MAX_EJECTED_SHARE = 0.5
-FIRST_PAUSE_S = 1.0
-MAX_PAUSE_S = 30.0
-FORGET_AFTER_S = 600.0
-PAUSE_SPREAD = 0.25
-ZONE_LOST = 2
-TRIAL_S = 5.0
-"""A trial whose outcome is not heard within this is given up on."""
+INITIAL_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
+RECORD_TTL_S = 600.0
+EJECTION_JITTER = 0.25
+ZONE_UNREACHABLE_HOSTS = 2
+TRIAL_TIMEOUT_S = 5.0
+"""A trial without an outcome after this time no longer blocks another one."""
 
 
-class Verdict(enum.Enum):
-    """What a call's outcome says about its target."""
+class CallSignal(enum.Enum):
+    """What the outcome of a call says about its target."""
 
     GOOD = 'good'
     FAILED = 'failed'
     LOST = 'lost'
-    """The target took the call, or refused the connection."""
+    """The target took the call without an answer or refused the connection."""
     UNREACHABLE = 'unreachable'
-    """Its host's daemon could not be reached."""
-    SILENT = 'silent'
-    """Says nothing: a refusal with good reason."""
+    """The daemon of the target's host could not be reached."""
+    NEUTRAL = 'silent'
+    """A legitimate refusal, which says nothing about the target's health."""
 
 
-def verdict_of(outcome: calls.Outcome) -> Verdict:
-    """Return what `outcome` says about the target it came from."""
+def verdict_of(outcome: calls.Outcome) -> CallSignal:
+    """Return the signal of `outcome` about the called target."""
     if isinstance(outcome, calls.Answer):
-        return Verdict.FAILED if outcome.status >= 500 else Verdict.GOOD
+        return CallSignal.FAILED if outcome.status >= 500 else CallSignal.GOOD
     if isinstance(outcome, calls.OutcomeUnknown):
-        return Verdict.LOST
+        return CallSignal.LOST
     if outcome.reason is calls.NotRunReason.UNREACHABLE:
-        return Verdict.UNREACHABLE
+        return CallSignal.UNREACHABLE
     if outcome.reason is calls.NotRunReason.TARGET_GONE:
-        # Its guard said so: the host and its zone can be reached.
-        return Verdict.LOST
-    return Verdict.SILENT
+        # Reported by the target's guard, so host and zone are reachable.
+        return CallSignal.LOST
+    return CallSignal.NEUTRAL
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Subject:
-    """A target as ejection sees it; `key` is the one of ``choice``."""
+    """Identity of a target; `key` is the one that ``loadbalancing`` uses."""
 
     key: str
     host: str
@@ -81,168 +82,183 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Record:
-    """How the latest calls to one target ended."""
+class TargetRecord:
+    """Recent outcomes and ejections of one target."""
 
-    lost_in_a_row: int = 0
-    failed_share: float = 0.0
+    consecutive_losses: int = 0
+    failure_rate: float = 0.0
     ejections: int = 0
     ejected_at: float = 0.0
-    until: float = 0.0
+    ejected_until: float = 0.0
     trial_since: float | None = None
-    noted_at: float = 0.0
+    updated_at: float = 0.0
 
     @property
     def ejected(self) -> bool:
-        return self.until > 0.0
+        return self.ejected_until > 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class ZoneRecord:
-    """Hosts of a zone that were unreachable since one was last reached."""
+    """Unreachable hosts of a zone since one was last reached."""
 
     lost: set[str] = dataclasses.field(default_factory=set)
-    until: float = 0.0
-    pauses: int = 0
+    ejected_until: float = 0.0
+    ejections: int = 0
     ejected_at: float = 0.0
 
 
 class Ejector:
-    """One daemon's view; `zone` is its own, which is never ejected whole."""
+    """Ejection state of one daemon.
+
+    :param zone: the daemon's own zone, which is never ejected as a whole.
+    """
 
     def __init__(self, zone: str, randomness: random.Random) -> None:
         self.zone = zone
         self.randomness = randomness
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, TargetRecord] = {}
         self.zones: dict[str, ZoneRecord] = {}
 
     def note(
         self,
-        subject: Subject,
-        verdict: Verdict,
+        target: Subject,
+        signal: CallSignal,
         others: Iterable[str],
         now: float,
     ) -> None:
-        """Take in how a call to `subject` ended.
+        """Record the outcome of a call to `target`.
 
-        :param others: keys of the same service's other targets; gone
-            through only when the call failed.
+        :param others: keys of the same service's other targets; iterated
+            only if the failure rate has to be compared.
         """
-        self._note_zone(subject, verdict, now)
-        if verdict is Verdict.SILENT:
-            record = self.records.get(subject.key)
+        self._note_zone(target, signal, now)
+        if signal is CallSignal.NEUTRAL:
+            record = self.records.get(target.key)
             if record is not None:
                 record.trial_since = None
             return
-        record = self.records.get(subject.key)
+        record = self.records.get(target.key)
         if record is None:
-            if verdict is Verdict.GOOD:
+            if signal is CallSignal.GOOD:
                 return
-            record = self.records[subject.key] = Record()
-        record.noted_at = now
-        good = verdict is Verdict.GOOD
-        record.failed_share += SHARE_WEIGHT * (
-            (not good) - record.failed_share
+            record = self.records[target.key] = TargetRecord()
+        record.updated_at = now
+        good = signal is CallSignal.GOOD
+        record.failure_rate += EWMA_WEIGHT * ((not good) - record.failure_rate)
+        lost = signal in (CallSignal.LOST, CallSignal.UNREACHABLE)
+        record.consecutive_losses = (
+            record.consecutive_losses + 1 if lost else 0
         )
-        lost = verdict in (Verdict.LOST, Verdict.UNREACHABLE)
-        record.lost_in_a_row = record.lost_in_a_row + 1 if lost else 0
         if record.ejected:
             self._end_trial(record, good, now)
-        elif self._is_bad(record, others):
+        elif self._should_eject(record, others):
             self._eject(record, now)
-        elif good and record.failed_share < 0.01:
-            del self.records[subject.key]
+        elif good and record.failure_rate < 0.01:
+            del self.records[target.key]
 
-    def excluded(self, subjects: Iterable[Subject], now: float) -> set[str]:
-        """Return which of a service's targets get no call now."""
+    def excluded(self, targets: Iterable[Subject], now: float) -> set[str]:
+        """Return the keys of a service's targets that get no calls now."""
         if not self.records and not self.zones:
             return set()
-        held = list(subjects)
-        out = [one for one in held if self._is_out(one, now)]
-        most = int(len(held) * MAX_EJECTED_SHARE)
-        # The longest out stay out: the latest to fail may be an effect.
-        out.sort(key=self._out_since)
-        return {one.key for one in out[:most]}
+        known = list(targets)
+        excluded = [
+            target for target in known if self._is_excluded(target, now)
+        ]
+        max_excluded = int(len(known) * MAX_EJECTED_SHARE)
+        # Earlier failures take precedence: later ones may be a consequence.
+        excluded.sort(key=self._excluded_since)
+        return {target.key for target in excluded[:max_excluded]}
 
     def trying(self, key: str, now: float) -> None:
-        """Note that a call goes to `key`; the trial, if it was ejected."""
+        """Record a call to `key`, which is a trial if it is ejected."""
         record = self.records.get(key)
         if record is not None and record.ejected:
             record.trial_since = now
 
     def forget(self, now: float) -> None:
-        """Drop targets that no call went to for long, as those gone."""
+        """Drop records without a recent outcome, e.g. of removed targets."""
         self.records = {
             key: record
             for key, record in self.records.items()
-            if now - record.noted_at < FORGET_AFTER_S
+            if now - record.updated_at < RECORD_TTL_S
         }
 
-    def _is_bad(self, record: Record, others: Iterable[str]) -> bool:
-        if record.lost_in_a_row >= LOST_IN_A_ROW:
+    def _should_eject(
+        self, record: TargetRecord, others: Iterable[str]
+    ) -> bool:
+        if record.consecutive_losses >= CONSECUTIVE_LOSSES:
             return True
-        if record.failed_share < FAILURE_SHARE:
+        if record.failure_rate < EJECTION_FAILURE_RATE:
             return False
-        shares = [
-            self.records[one].failed_share if one in self.records else 0.0
-            for one in others
+        rates = [
+            self.records[key].failure_rate if key in self.records else 0.0
+            for key in others
         ]
-        mean = sum(shares) / len(shares) if shares else 1.0
-        return record.failed_share >= PEERS_FACTOR * mean
+        mean = sum(rates) / len(rates) if rates else 1.0
+        return record.failure_rate >= PEER_RATIO * mean
 
-    def _eject(self, record: Record, now: float) -> None:
+    def _eject(self, record: TargetRecord, now: float) -> None:
         if not record.ejected:
             record.ejected_at = now
-        pause = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(record.ejections, 8))
-        spread = 1 + PAUSE_SPREAD * self.randomness.random()
+        pause_s = min(
+            MAX_EJECTION_S, INITIAL_EJECTION_S * 2 ** min(record.ejections, 8)
+        )
+        jitter = 1 + EJECTION_JITTER * self.randomness.random()
         record.ejections += 1
-        record.until = now + pause * spread
+        record.ejected_until = now + pause_s * jitter
         record.trial_since = None
 
-    def _end_trial(self, record: Record, good: bool, now: float) -> None:
+    def _end_trial(self, record: TargetRecord, good: bool, now: float) -> None:
         if not good:
-            # Calls that were under way when it was ejected end as well.
-            if now >= record.until:
+            # Calls in flight at the time of the ejection may end earlier.
+            if now >= record.ejected_until:
                 self._eject(record, now)
             return
-        if now >= record.until:
-            record.until = 0.0
+        if now >= record.ejected_until:
+            record.ejected_until = 0.0
             record.trial_since = None
-            record.lost_in_a_row = 0
-            record.failed_share = 0.0
+            record.consecutive_losses = 0
+            record.failure_rate = 0.0
 
     def _note_zone(
-        self, subject: Subject, verdict: Verdict, now: float
+        self, target: Subject, signal: CallSignal, now: float
     ) -> None:
-        zone = subject.availability_zone
+        zone = target.availability_zone
         if zone == self.zone:
             return
-        if verdict is not Verdict.UNREACHABLE:
+        if signal is not CallSignal.UNREACHABLE:
             self.zones.pop(zone, None)
             return
-        found = self.zones.setdefault(zone, ZoneRecord())
-        found.lost.add(subject.host)
-        if len(found.lost) >= ZONE_LOST and now >= found.until:
-            pause = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(found.pauses, 8))
-            spread = 1 + PAUSE_SPREAD * self.randomness.random()
-            found.pauses += 1
-            found.ejected_at = found.ejected_at or now
-            found.until = now + pause * spread
-
-    def _is_out(self, subject: Subject, now: float) -> bool:
-        zone = self.zones.get(subject.availability_zone)
-        if zone is not None and now < zone.until:
+        record = self.zones.setdefault(zone, ZoneRecord())
+        record.lost.add(target.host)
+        if (
+            len(record.lost) >= ZONE_UNREACHABLE_HOSTS
+            and now >= record.ejected_until
+        ):
+            pause_s = min(
+                MAX_EJECTION_S,
+                INITIAL_EJECTION_S * 2 ** min(record.ejections, 8),
+            )
+            jitter = 1 + EJECTION_JITTER * self.randomness.random()
+            record.ejections += 1
+            record.ejected_at = record.ejected_at or now
+            record.ejected_until = now + pause_s * jitter
+
+    def _is_excluded(self, target: Subject, now: float) -> bool:
+        zone = self.zones.get(target.availability_zone)
+        if zone is not None and now < zone.ejected_until:
             return True
-        record = self.records.get(subject.key)
+        record = self.records.get(target.key)
         if record is None or not record.ejected:
             return False
-        if now < record.until:
+        if now < record.ejected_until:
             return True
-        trial = record.trial_since
-        return trial is not None and now - trial < TRIAL_S
+        trial_since = record.trial_since
+        return trial_since is not None and now - trial_since < TRIAL_TIMEOUT_S
 
-    def _out_since(self, subject: Subject) -> float:
-        record = self.records.get(subject.key)
+    def _excluded_since(self, target: Subject) -> float:
+        record = self.records.get(target.key)
         if record is not None and record.ejected:
             return record.ejected_at
-        return self.zones[subject.availability_zone].ejected_at
+        return self.zones[target.availability_zone].ejected_at
