--- a/src/peridotpost/decisions/asking.py
+++ b/src/peridotpost/decisions/asking.py
@@ -19,8 +19,8 @@
 from collections.abc import Sequence
 import dataclasses
 
-ENOUGH = 3
-ENOUGH_FAR = 1
+MAX_SAME_ZONE_PEERS = 3
+MAX_OTHER_ZONE_PEERS = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,10 +35,14 @@
     asked: bool
 
 
-def to_ask(neighbours: Sequence[Neighbour]) -> list[str]:
+def to_ask(candidates: Sequence[Neighbour]) -> list[str]:
     """Return the hosts to ask now, in the order given."""
-    near = [one for one in neighbours if not one.far]
-    among, enough = (near, ENOUGH) if near else (neighbours, ENOUGH_FAR)
-    lacking = enough - sum(one.asked for one in among)
-    new = [one.host for one in among if not one.asked]
-    return new[: max(0, lacking)]
+    same_zone = [one for one in candidates if not one.far]
+    pool, limit = (
+        (same_zone, MAX_SAME_ZONE_PEERS)
+        if same_zone
+        else (candidates, MAX_OTHER_ZONE_PEERS)
+    )
+    missing = limit - sum(one.asked for one in pool)
+    new = [one.host for one in pool if not one.asked]
+    return new[: max(0, missing)]
--- a/src/peridotpost/decisions/fleet.py
+++ b/src/peridotpost/decisions/fleet.py
@@ -40,7 +40,7 @@
     return hashlib.blake2b(host.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
-def _share(record: members.MemberRecord) -> int:
+def _bucket_term(record: members.MemberRecord) -> int:
     """Return what a record adds to its bucket's sum; 0 once departed.
 
     Departed members stay out of the sums, or a daemon that has forgotten
@@ -66,19 +66,19 @@
     )
     departed_at: dict[str, float] = dataclasses.field(default_factory=dict)
     sums: list[int] = dataclasses.field(default_factory=lambda: [0] * BUCKETS)
-    grouped: dict[str, list[members.MemberRecord]] | None = None
+    live_by_zone: dict[str, list[members.MemberRecord]] | None = None
 
     def merge(self, record: members.MemberRecord, now: float) -> bool:
         """Keep `record` if it is later than the one held; say whether."""
         held = self.records.get(record.host)
         if held is not None and record.mark <= held.mark:
             return False
-        before = 0 if held is None else _share(held)
+        before = 0 if held is None else _bucket_term(held)
         bucket = bucket_of(record.host)
-        changed = self.sums[bucket] + _share(record) - before
+        changed = self.sums[bucket] + _bucket_term(record) - before
         self.sums[bucket] = changed % SUM_MODULUS
         self.records[record.host] = record
-        self.grouped = None
+        self.live_by_zone = None
         if record.live:
             self.departed_at.pop(record.host, None)
         else:
@@ -112,13 +112,15 @@
         Asked each second by the prober and eleven times by a relay's
         plan; gone through anew each time, 5,200 records take 4 ms.
         """
-        if self.grouped is None:
-            self.grouped = {}
+        if self.live_by_zone is None:
+            self.live_by_zone = {}
             for one in self.records.values():
                 if one.live:
-                    zone = self.grouped.setdefault(one.availability_zone, [])
+                    zone = self.live_by_zone.setdefault(
+                        one.availability_zone, []
+                    )
                     zone.append(one)
-        return self.grouped
+        return self.live_by_zone
 
     def differing(self, sums: Iterable[int]) -> frozenset[int]:
         """Return the buckets in which a holder of `sums` differs."""
@@ -140,11 +142,11 @@
         """
         return [
             record
-            for record in self._within(buckets)
-            if self._is_news(record, marks.get(record.host))
+            for record in self._records_in(buckets)
+            if self._lacks(record, marks.get(record.host))
         ]
 
-    def _is_news(
+    def _lacks(
         self, record: members.MemberRecord, mark: members.MemberMark | None
     ) -> bool:
         return record.live if mark is None else mark < record.mark
@@ -167,9 +169,9 @@
     def marks(
         self, buckets: frozenset[int] = ALL_BUCKETS
     ) -> dict[str, members.MemberMark]:
-        return {one.host: one.mark for one in self._within(buckets)}
+        return {one.host: one.mark for one in self._records_in(buckets)}
 
-    def _within(
+    def _records_in(
         self, buckets: frozenset[int]
     ) -> Iterator[members.MemberRecord]:
         if buckets == ALL_BUCKETS:
--- a/src/peridotpost/decisions/following.py
+++ b/src/peridotpost/decisions/following.py
@@ -28,7 +28,7 @@
 """More than two beats, so that two may be lost."""
 BEAT_S = 0.8
 READ_EVERY_S = 2.0
-READ_FOR_S = 0.9
+PEER_READ_WAIT_S = 0.9
 """More than a beat, in which each of the others looks whether it is to
 read."""
 
@@ -94,7 +94,7 @@
         heard_at = max(self.start, self.since, *self.heard_by_host.values())
         if now - heard_at < HEARD_S or now - self.read_at < READ_EVERY_S:
             return False
-        if now - self.others_read_at < READ_FOR_S:
+        if now - self.others_read_at < PEER_READ_WAIT_S:
             return False
         self.read_at = now
         return True
--- a/src/peridotpost/decisions/incarnations.py
+++ b/src/peridotpost/decisions/incarnations.py
@@ -12,7 +12,7 @@
 
 from peridotpost.model import instances
 
-GONE_MEMORY = 64
+MAX_ENDED_INSTANCES = 64
 """Ended incarnations remembered, by id; a host's target is replaced a few
 times an hour at most."""
 
@@ -24,21 +24,21 @@
         self.current: instances.Announcement | None = None
         self.ended: dict[str, int] = {}
 
-    def offer(self, told: instances.Announcement) -> bool:
+    def offer(self, announcement: instances.Announcement) -> bool:
         """Take an announcement; return whether it changed anything."""
-        if told.born_ms <= self.ended.get(told.instance, -1):
+        if announcement.born_ms <= self.ended.get(announcement.instance, -1):
             return False
         known = self.current
-        if known is not None and not _newer(told, known):
+        if known is not None and not _newer(announcement, known):
             return False
-        self.current = told
-        if told.state is not instances.InstanceState.READY:
-            self._note_end(told.instance, told.born_ms)
-        return known is None or _differs(told, known)
+        self.current = announcement
+        if announcement.state is not instances.InstanceState.READY:
+            self._record_end(announcement.instance, announcement.born_ms)
+        return known is None or _differs(announcement, known)
 
     def leave(self, instance: str, born_ms: int) -> bool:
         """Note that `instance` leaves; return whether it was the current."""
-        self._note_end(instance, born_ms)
+        self._record_end(instance, born_ms)
         known = self.current
         if known is None or known.instance != instance:
             return False
@@ -47,31 +47,32 @@
         self.current = None
         return True
 
-    def _note_end(self, instance: str, born_ms: int) -> None:
+    def _record_end(self, instance: str, born_ms: int) -> None:
         self.ended[instance] = max(born_ms, self.ended.get(instance, 0))
-        while len(self.ended) > GONE_MEMORY:
+        while len(self.ended) > MAX_ENDED_INSTANCES:
             del self.ended[next(iter(self.ended))]
 
 
 def _newer(
-    told: instances.Announcement, known: instances.Announcement
+    announcement: instances.Announcement, known: instances.Announcement
 ) -> bool:
-    if told.born_ms != known.born_ms:
-        return told.born_ms > known.born_ms
-    if told.instance != known.instance:
+    if announcement.born_ms != known.born_ms:
+        return announcement.born_ms > known.born_ms
+    if announcement.instance != known.instance:
         return True
-    return told.sequence > known.sequence
+    return announcement.sequence > known.sequence
 
 
 def _differs(
-    told: instances.Announcement, known: instances.Announcement
+    announcement: instances.Announcement, known: instances.Announcement
 ) -> bool:
     return (
-        told.instance != known.instance
-        or told.born_ms != known.born_ms
-        or told.service != known.service
-        or told.state is not known.state
-        or told.slots != known.slots
-        or told.version != known.version
-        or (told.address, told.port) != (known.address, known.port)
+        announcement.instance != known.instance
+        or announcement.born_ms != known.born_ms
+        or announcement.service != known.service
+        or announcement.state is not known.state
+        or announcement.slots != known.slots
+        or announcement.version != known.version
+        or (announcement.address, announcement.port)
+        != (known.address, known.port)
     )
--- a/src/peridotpost/decisions/logbudget.py
+++ b/src/peridotpost/decisions/logbudget.py
@@ -20,7 +20,7 @@
 
 LINES_PER_S = 20.0
 BURST_LINES = 100.0
-SERVED_EVERY_S = 1.0
+SERVED_SAMPLE_INTERVAL_S = 1.0
 
 
 class Weight(enum.Enum):
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.tokens = BURST_LINES
         self.filled_at = 0.0
-        self.next_served = 0.0
+        self.next_served_at = 0.0
 
     def takes(self, weight: Weight, now: float) -> bool:
         """Whether a line may be written.
@@ -57,7 +57,7 @@
 
         :param now: seconds of a steady clock.
         """
-        if now < self.next_served:
+        if now < self.next_served_at:
             return False
-        self.next_served = now + SERVED_EVERY_S
+        self.next_served_at = now + SERVED_SAMPLE_INTERVAL_S
         return True
--- a/src/peridotpost/decisions/observer.py
+++ b/src/peridotpost/decisions/observer.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Evidence:
+class ProbeResult:
     """How a probe of one member went.
 
     :param answered: the member answered, directly or through a helper.
@@ -27,7 +27,7 @@
     answered: bool
     helpers: int = 0
     helpers_heard: int = 0
-    overslept: bool = False
+    observer_paused: bool = False
 
 
 class Verdict(enum.Enum):
@@ -55,9 +55,9 @@
         Next in the round, suspects whose time is over, and some of those
         that this observer itself found silent.
         """
-        expired = self.suspicions.expired(now)[: suspicion.LAST_PROBES]
+        expired = self.suspicions.expired(now)[: suspicion.MAX_FINAL_PROBES]
         own = [one for one in self.suspicions.own() if one not in expired]
-        count = min(len(own), suspicion.FOLLOW_UPS)
+        count = min(len(own), suspicion.MAX_REPROBES)
         again = self.randomness.sample(own, count)
         chosen = dict.fromkeys([*expired, *again])
         following = self.round.next_subject(candidates)
@@ -66,13 +66,13 @@
         return list(chosen)
 
     def judge(
-        self, record: members.MemberRecord, evidence: Evidence, now: float
+        self, record: members.MemberRecord, evidence: ProbeResult, now: float
     ) -> Verdict:
         """Draw the conclusion from a probe of `record`'s host."""
         if evidence.answered:
-            self.suspicions.found_alive(record.host, now)
+            self.suspicions.record_answer(record.host, now)
             return Verdict.ALIVE
-        if evidence.overslept:
+        if evidence.observer_paused:
             return Verdict.UNCLEAR
         if evidence.helpers and not evidence.helpers_heard:
             # Not one of several others is heard: the fault is most likely
@@ -80,7 +80,7 @@
             self.suspicions.restart(now)
             return Verdict.ISOLATED
         due = self.suspicions.due(record.host, now)
-        self.suspicions.found_silent(record, now)
+        self.suspicions.record_silence(record, now)
         if record.status is members.Status.ALIVE:
             return Verdict.SUSPECTED
         if record.status is members.Status.SUSPECT and due:
--- a/src/peridotpost/decisions/pacing.py
+++ b/src/peridotpost/decisions/pacing.py
@@ -18,10 +18,10 @@
 CAP_S = 5.0
 JOINS_PER_S = 40
 JOIN_BURST = 16
-MAX_COME_BACK_S = 15.0
+MAX_RETRY_AFTER_S = 15.0
 """A daemon without a parent still hears by reconciliation, about every
 10 s; sent away for much longer it would do better with any other one."""
-STOOD_S = 5.0
+STABLE_STREAM_S = 5.0
 """A stream that stood this long was not refused in disguise."""
 
 
@@ -31,12 +31,14 @@
 
     randomness: random.Random
     base_s: float = BASE_S
-    cap_s: float = CAP_S
+    max_delay_s: float = CAP_S
     failures: int = 0
 
     def next_delay(self) -> float:
         """Return the seconds to wait after one more failure."""
-        bound = min(self.cap_s, self.base_s * 2 ** min(self.failures, 16))
+        bound = min(
+            self.max_delay_s, self.base_s * 2 ** min(self.failures, 16)
+        )
         self.failures += 1
         return self.randomness.uniform(0, bound)
 
@@ -75,17 +77,17 @@
             return 0.0
         earliest = now + (1 - self.tokens) / self.rate
         self.slot = max(self.slot + 1 / self.rate, earliest)
-        if self.slot > now + MAX_COME_BACK_S:
+        if self.slot > now + MAX_RETRY_AFTER_S:
             self.slot = earliest
         return self.slot - now
 
 
 @dataclasses.dataclass(slots=True)
-class PeerPast:
+class PeerHistory:
     """How one parent answered so far."""
 
     backoff: Backoff
-    not_before: float = 0.0
+    retry_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -103,36 +105,36 @@
     """
 
     randomness: random.Random
-    past: dict[str, PeerPast] = dataclasses.field(default_factory=dict)
+    past: dict[str, PeerHistory] = dataclasses.field(default_factory=dict)
 
     def choose(
         self, candidates: Sequence[str], now: float
     ) -> tuple[str, float]:
         """Return the peer to dial and the seconds to wait before that."""
         for peer in candidates:
-            if self._past(peer).not_before <= now:
+            if self._history_of(peer).retry_at <= now:
                 return peer, 0.0
-        peer = min(candidates, key=lambda one: self._past(one).not_before)
-        return peer, self._past(peer).not_before - now
+        peer = min(candidates, key=lambda one: self._history_of(one).retry_at)
+        return peer, self._history_of(peer).retry_at - now
 
-    def ended(self, peer: str, now: float, stood_s: float) -> None:
+    def ended(self, peer: str, now: float, lifetime_s: float) -> None:
         """Take note that a dial failed or a stream ended."""
-        past = self._past(peer)
-        if stood_s >= STOOD_S:
+        past = self._history_of(peer)
+        if lifetime_s >= STABLE_STREAM_S:
             past.backoff.reset()
-        past.not_before = now + past.backoff.next_delay()
+        past.retry_at = now + past.backoff.next_delay()
 
-    def refused(self, peer: str, now: float, come_back_s: float) -> None:
+    def refused(self, peer: str, now: float, retry_after_s: float) -> None:
         spread = self.randomness.uniform(1, 1.25)
-        self._past(peer).not_before = now + come_back_s * spread
+        self._history_of(peer).retry_at = now + retry_after_s * spread
 
     def keep_only(self, candidates: Sequence[str]) -> None:
         """Forget peers that are no candidates any more."""
         for peer in set(self.past) - set(candidates):
             del self.past[peer]
 
-    def _past(self, peer: str) -> PeerPast:
+    def _history_of(self, peer: str) -> PeerHistory:
         found = self.past.get(peer)
         if found is None:
-            found = self.past[peer] = PeerPast(Backoff(self.randomness))
+            found = self.past[peer] = PeerHistory(Backoff(self.randomness))
         return found
--- a/src/peridotpost/decisions/poison.py
+++ b/src/peridotpost/decisions/poison.py
@@ -20,12 +20,12 @@
 from peridotpost.model import calls
 
 MAX_CRASHES = 2
-REMEMBERED_S = 600.0
-REFUSED_S = 60.0
-MAX_REFUSED_S = 600.0
+CRASH_MEMORY_S = 600.0
+BASE_REFUSAL_S = 60.0
+MAX_REFUSAL_S = 600.0
 MAX_SUSPECTS = 1000
 """Bounds the memory, some 300 KB, against a flood of crash reports."""
-VOLATILE = frozenset(
+VOLATILE_HEADERS = frozenset(
     {
         'accept-encoding',
         'date',
@@ -52,7 +52,7 @@
     state = hashlib.blake2b(digest_size=16)
     parts = [call.service, call.method, call.path]
     for header in call.headers:
-        if header.name.lower() not in VOLATILE:
+        if header.name.lower() not in VOLATILE_HEADERS:
             parts.append(f'{header.name.lower()}:{header.value}')
     state.update('\0'.join(parts).encode('utf-8', 'surrogateescape'))
     state.update(b'\0\0')
@@ -89,8 +89,8 @@
         """
         for name in names:
             suspect = self.suspects.get(name)
-            if suspect is None or now - suspect.last > REMEMBERED_S:
-                self._make_room()
+            if suspect is None or now - suspect.last > CRASH_MEMORY_S:
+                self._evict_oldest()
                 suspect = self.suspects[name] = Suspect()
             event = f'{target}#{incident}'
             if event in suspect.crashed:
@@ -100,7 +100,7 @@
             suspect.last = now
             over = suspect.crashes - MAX_CRASHES
             if over >= 0:
-                pause = min(MAX_REFUSED_S, REFUSED_S * 2 ** min(over, 8))
+                pause = min(MAX_REFUSAL_S, BASE_REFUSAL_S * 2 ** min(over, 8))
                 suspect.refused_until = now + pause
 
     def answered(self, call: calls.Call) -> None:
@@ -140,10 +140,10 @@
             name: suspect
             for name, suspect in self.suspects.items()
             if now < suspect.refused_until
-            or now - suspect.last <= REMEMBERED_S
+            or now - suspect.last <= CRASH_MEMORY_S
         }
 
-    def _make_room(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self.suspects) >= MAX_SUSPECTS:
             oldest = min(self.suspects, key=lambda it: self.suspects[it].last)
             del self.suspects[oldest]
--- a/src/peridotpost/decisions/progress.py
+++ b/src/peridotpost/decisions/progress.py
@@ -33,7 +33,7 @@
 NOTHING_TOLD = Progress(0, 0, 0)
 
 
-def sum_of(hosts: Iterable[str]) -> int:
+def sum_of_hosts(hosts: Iterable[str]) -> int:
     return sum(tree.weight(host) for host in hosts) % SUM_MODULUS
 
 
@@ -41,12 +41,12 @@
     host: str, own_revision: int, below: Iterable[Progress]
 ) -> Progress:
     """Return the progress of `host` and all that report to it."""
-    told = [one for one in below if one.daemons]
-    lowest = min([own_revision, *(one.lowest_revision for one in told)])
-    hosts_sum = tree.weight(host) + sum(one.hosts_sum for one in told)
+    reported = [one for one in below if one.daemons]
+    lowest = min([own_revision, *(one.lowest_revision for one in reported)])
+    hosts_sum = tree.weight(host) + sum(one.hosts_sum for one in reported)
     return Progress(
         lowest,
-        1 + sum(one.daemons for one in told),
+        1 + sum(one.daemons for one in reported),
         hosts_sum % SUM_MODULUS,
     )
 
@@ -63,4 +63,4 @@
     """
     if progress.lowest_revision < revision:
         return False
-    return progress.hosts_sum == sum_of(live_hosts)
+    return progress.hosts_sum == sum_of_hosts(live_hosts)
--- a/src/peridotpost/decisions/rollout.py
+++ b/src/peridotpost/decisions/rollout.py
@@ -49,10 +49,10 @@
 
 
 def of_zone(
-    availability_zone: str, live: int, words: Iterable[RelayWord]
+    availability_zone: str, live: int, reports: Iterable[RelayWord]
 ) -> ZoneRollout:
     """Take the widest word on one availability zone."""
-    mine = [w for w in words if w.availability_zone == availability_zone]
+    mine = [w for w in reports if w.availability_zone == availability_zone]
     widest = max(
         mine,
         key=lambda word: (word.covers_zone, word.daemons),
--- a/src/peridotpost/decisions/seeds.py
+++ b/src/peridotpost/decisions/seeds.py
@@ -26,8 +26,8 @@
 from peridotpost.decisions import tree
 
 SEEDS_PER_ZONE = 8
-FIRST_LOOKS = 6
-LOOK_EVERY = 6
+INITIAL_READS = 6
+RENEWALS_PER_READ = 6
 """Renewals between two readings of all records by a daemon that keeps one.
 The 88 records of 11 zones are 25 KB; read with each renewal, every 5 s,
 they alone took 5 of a daemon's 7 KB/s.  Read every 30 s they take 0.8, and
@@ -36,7 +36,7 @@
 LEASE_PERIODS = 3
 """A lease outlives two lost renewals."""
 START_SPREAD_S = 8.0
-LONGEST_SPREADS = 4
+MAX_SPREAD_FACTOR = 4
 
 
 @dataclasses.dataclass(slots=True)
@@ -54,7 +54,7 @@
     def next_delay(self) -> float:
         """Return the seconds to wait after one more failed read."""
         self.failures += 1
-        spreads = min(LONGEST_SPREADS, 2**self.failures)
+        spreads = min(MAX_SPREAD_FACTOR, 2**self.failures)
         return self.randomness.uniform(0, spreads * self.spread_s)
 
 
@@ -63,7 +63,7 @@
 
     :param renewals: how often it has renewed or written its own so far.
     """
-    return renewals < FIRST_LOOKS or renewals % LOOK_EVERY == 0
+    return renewals < INITIAL_READS or renewals % RENEWALS_PER_READ == 0
 
 
 def is_due(
--- a/src/peridotpost/decisions/suspicion.py
+++ b/src/peridotpost/decisions/suspicion.py
@@ -35,15 +35,15 @@
 PAUSE_FACTOR = 3.0
 """A gap between two ticks of over three periods is the observer's pause:
 scheduling delays on a loaded host stay well under one period."""
-CONFIRMATIONS = 3
-SHORTEST_SHARE = 0.5
-HEARSAY_FACTOR = 2.0
-FOLLOW_UPS = 4
+MAX_CONFIRMATIONS = 3
+MIN_SUSPICION_SHARE = 0.5
+INDIRECT_SUSPICION_FACTOR = 2.0
+MAX_REPROBES = 4
 """Own suspects probed again in a period; the loss of a rack of 40 gives
 most observers of a zone of 473 none or one."""
-LAST_PROBES = 8
+MAX_FINAL_PROBES = 8
 """Last probes in a period: a death takes at most four datagrams more."""
-SMALL_ZONE = 3
+SMALL_ZONE_MEMBERS = 3
 """A zone with fewer live members is probed from other zones as well: two
 of three may be gone, and the last one has nobody to miss it."""
 
@@ -85,7 +85,7 @@
         return self.randomness.sample(sorted(hosts), min(count, len(hosts)))
 
 
-def probed_from(
+def hosts_to_probe(
     zone: str, records: Collection[members.MemberRecord]
 ) -> list[str]:
     """Return the hosts that a daemon in `zone` is to probe."""
@@ -98,7 +98,7 @@
         one.host
         for one in records
         if one.availability_zone == zone
-        or counts[one.availability_zone] < SMALL_ZONE
+        or counts[one.availability_zone] < SMALL_ZONE_MEMBERS
     ]
 
 
@@ -111,15 +111,15 @@
 
     incarnation: int
     since: float
-    silences: int = 0
+    silent_periods: int = 0
 
     def lasts_s(self, suspicion_s: float) -> float:
         """Return the seconds it has to stand before a death."""
-        if not self.silences:
-            return HEARSAY_FACTOR * suspicion_s
-        confirmed = min(self.silences - 1, CONFIRMATIONS)
-        share = math.log(confirmed + 1) / math.log(CONFIRMATIONS + 1)
-        return suspicion_s * (1 - (1 - SHORTEST_SHARE) * share)
+        if not self.silent_periods:
+            return INDIRECT_SUSPICION_FACTOR * suspicion_s
+        confirmed = min(self.silent_periods - 1, MAX_CONFIRMATIONS)
+        share = math.log(confirmed + 1) / math.log(MAX_CONFIRMATIONS + 1)
+        return suspicion_s * (1 - (1 - MIN_SUSPICION_SHARE) * share)
 
 
 @dataclasses.dataclass(slots=True)
@@ -138,20 +138,20 @@
         if held is None or held.incarnation != record.incarnation:
             self.running[record.host] = Suspicion(record.incarnation, now)
 
-    def found_silent(self, record: members.MemberRecord, now: float) -> None:
+    def record_silence(self, record: members.MemberRecord, now: float) -> None:
         """Note that the own probe and its helpers' got no answer."""
         held = self.running.get(record.host)
         if held is None or held.incarnation != record.incarnation:
             held = Suspicion(record.incarnation, now)
             self.running[record.host] = held
-        held.silences += 1
+        held.silent_periods += 1
 
-    def found_alive(self, host: str, now: float) -> None:
+    def record_answer(self, host: str, now: float) -> None:
         """Begin anew: the suspect answers, it only has to refute yet."""
         held = self.running.get(host)
         if held is not None:
             held.since = now
-            held.silences = 0
+            held.silent_periods = 0
 
     def restart(self, now: float) -> None:
         """Give all suspects their full time again."""
@@ -171,11 +171,11 @@
 
     def own(self) -> list[str]:
         """Return the suspects that this observer found silent."""
-        return [h for h, held in self.running.items() if held.silences]
+        return [h for h, held in self.running.items() if held.silent_periods]
 
 
 @dataclasses.dataclass(slots=True)
-class PauseGuard:
+class PauseDetector:
     """Notices that this process was paused, by gaps between ticks."""
 
     period_s: float
@@ -187,12 +187,12 @@
         self.last_tick = now
         return gap > self.factor * self.period_s
 
-    def rested(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Begin the gap at the end of a tick that takes long itself."""
         self.last_tick = now
 
 
-def overslept(expected_s: float, took_s: float, period_s: float) -> bool:
+def wait_overran(expected_s: float, took_s: float, period_s: float) -> bool:
     """Say whether a wait took so long that this process was paused in it.
 
     On waking, the expired wait is seen before the answers that came
--- a/src/peridotpost/decisions/tree.py
+++ b/src/peridotpost/decisions/tree.py
@@ -29,12 +29,12 @@
 """A parent refuses more: rendezvous hashing spreads children with a
 standard deviation of about 4 around 16, so 32 is out of reach until the
 views of a herd differ."""
-WEIGHTS_KEPT = 16_384
+WEIGHT_CACHE_SIZE = 16_384
 """A plan weighs each of 5,200 members for its own zone, and a zone's
 parents for each child; worked out anew, that was half of a relay's plan."""
 
 
-@functools.lru_cache(maxsize=WEIGHTS_KEPT)
+@functools.lru_cache(maxsize=WEIGHT_CACHE_SIZE)
 def weight(*parts: str) -> int:
     """Return a number that is the same on every host for `parts`."""
     joined = '\0'.join(parts).encode()
@@ -67,10 +67,12 @@
     if host in relays:
         return Place(True, True, ())
     below = len(order) - len(relays)
-    middle = order[len(relays) : len(relays) + _middle_size(below)]
-    if not middle or host in middle:
-        return Place(False, host in middle, tuple(ranked(host, relays)))
-    return Place(False, False, tuple(ranked(host, middle) + relays))
+    intermediate = order[
+        len(relays) : len(relays) + _intermediate_count(below)
+    ]
+    if not intermediate or host in intermediate:
+        return Place(False, host in intermediate, tuple(ranked(host, relays)))
+    return Place(False, False, tuple(ranked(host, intermediate) + relays))
 
 
 def suspects_last(
@@ -84,7 +86,7 @@
     return tuple(sorted(parents, key=lambda host: host in suspected))
 
 
-def _middle_size(below: int) -> int:
+def _intermediate_count(below: int) -> int:
     """Return how many parents stand between relays and `below` daemons."""
     if below <= RELAYS_PER_ZONE * FAN_OUT:
         return 0
@@ -119,20 +121,22 @@
     zones off from each other.
     """
     mine = relays_of(zone, {*zone_hosts, host})
-    turn = mine.index(host) if host in mine else 0
+    own_index = mine.index(host) if host in mine else 0
     return [
         peer
         for other in others
         if zone < other.zone and other.relays
-        for peer in _called(other.relays, turn, len(mine))
+        for peer in _peers_for(other.relays, own_index, len(mine))
     ]
 
 
-def _called(relays: Sequence[str], turn: int, callers: int) -> tuple[str, ...]:
+def _peers_for(
+    relays: Sequence[str], own_index: int, callers: int
+) -> tuple[str, ...]:
     """Return those of `relays` that fall to the caller number `turn`."""
-    if turn >= len(relays):
-        return (relays[turn % len(relays)],)
-    return tuple(relays[turn::callers])
+    if own_index >= len(relays):
+        return (relays[own_index % len(relays)],)
+    return tuple(relays[own_index::callers])
 
 
 def seed_hosts(zone: str, zone_hosts: Iterable[str], seeds: int) -> list[str]:
--- a/src/peridotpost/decisions/versions.py
+++ b/src/peridotpost/decisions/versions.py
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judgement:
+class UpdateResult:
     """The verdict and what the daemon holds afterwards."""
 
     verdict: Verdict
@@ -102,7 +102,7 @@
 
 def judge(
     held: Holding, wanted: config.Interest, update: ConfigUpdate
-) -> Judgement:
+) -> UpdateResult:
     """Apply `update` to `held`, whole or not at all.
 
     :param wanted: the scope that the daemon needs now, which `held` may
@@ -110,25 +110,25 @@
     """
     keep = held.version.revision
     if update.revision < keep:
-        return Judgement(Verdict.STALE, held)
+        return UpdateResult(Verdict.STALE, held)
     satisfies = covers(update.scope, wanted)
     if update.revision == keep:
         grows = not covers(held.scope, wanted) and satisfies
         if not (grows and update.whole):
-            return Judgement(Verdict.STALE, held)
+            return UpdateResult(Verdict.STALE, held)
     elif not satisfies and not covers(update.scope, held.scope):
         # Cut for a scope from before this daemon's grew: applying it
         # would take away services that it holds and routes to.
-        return Judgement(Verdict.NEED_WHOLE, held)
+        return UpdateResult(Verdict.NEED_WHOLE, held)
     if not update.whole and update.base_revision != keep:
-        return Judgement(Verdict.NEED_WHOLE, held)
+        return UpdateResult(Verdict.NEED_WHOLE, held)
     candidate = Holding(_apply(held.version, update), update.scope)
     if candidate.digest != update.digest:
         # A damaged or misbased update: applying it would leave a version
         # in part, so the daemon keeps what it has.
         verdict = Verdict.DAMAGED if update.whole else Verdict.NEED_WHOLE
-        return Judgement(verdict, held)
-    return Judgement(Verdict.APPLIED, narrowed(candidate, wanted))
+        return UpdateResult(verdict, held)
+    return UpdateResult(Verdict.APPLIED, narrowed(candidate, wanted))
 
 
 def narrowed(holding: Holding, wanted: config.Interest) -> Holding:
--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -24,10 +24,10 @@
 """A helper's word that it was asked, whatever the subject does: it shows
 that the prober itself is heard."""
 NONCE_BITS = 64
-PATIENCE = 3
+TIMEOUTS_PER_PROBE = 3
 """Timeouts in a probe: one of the subject, two of its helpers, whose own
 probe takes one."""
-MAX_RELAYED = 64
+MAX_RELAYED_PROBES = 64
 """Probes run for others at once; more are refused, so that a flood of
 requests costs no more than so many datagrams each timeout."""
 Address = tuple[str, int]
@@ -46,17 +46,17 @@
     """An answer that is waited for, and who alone may give it."""
 
     subject: str
-    answerers: dict[Address, str]
+    hosts_by_address: dict[Address, str]
     answered: asyncio.Future[None]
     heard: set[str] = dataclasses.field(default_factory=set)
 
-    def given_by(self, probe: control_pb2.Probe, address: Address) -> bool:
+    def accepts(self, probe: control_pb2.Probe, address: Address) -> bool:
         """Whether an answer comes from whom it should, about whom."""
-        source = self.answerers.get(address)
+        source = self.hosts_by_address.get(address)
         return source == probe.source and probe.subject == self.subject
 
 
-class Pings:
+class ProbeEndpoint:
     """Sends and answers datagrams; judges nobody."""
 
     encode: Callable[[members.MemberRecord], control_pb2.Member]
@@ -86,26 +86,26 @@
             # The suspect hears of the suspicion with the probe itself, so
             # that it can refute it even if its stream is what broke.
             facts = [record]
-        with self._expecting(record.host, [record]) as (nonce, expected):
+        with self._pending(record.host, [record]) as (nonce, expected):
             self._send(PING, nonce, record.host, record, facts)
-            return await self._answered(expected, self.timeout_s)
+            return await self._wait_for_answer(expected, self.timeout_s)
 
-    async def ping_through(
+    async def ping_via(
         self, record: members.MemberRecord, helpers: list[str]
     ) -> tuple[bool, int]:
         """Ask `helpers`; return whether one got an answer, how many heard."""
         found = [self.fleet.record_of(host) for host in helpers]
         asked = [one for one in found if one is not None]
-        with self._expecting(record.host, asked) as (nonce, expected):
+        with self._pending(record.host, asked) as (nonce, expected):
             for helper in asked:
                 self._send(PING_REQUEST, nonce, record.host, helper, [])
-            answered = await self._answered(
-                expected, (PATIENCE - 1) * self.timeout_s
+            answered = await self._wait_for_answer(
+                expected, (TIMEOUTS_PER_PROBE - 1) * self.timeout_s
             )
             return answered, len(expected.heard)
 
     @contextlib.contextmanager
-    def _expecting(
+    def _pending(
         self, subject: str, answerers: list[members.MemberRecord]
     ) -> Iterator[tuple[int, Expected]]:
         # Numbers that can be guessed would let a stray or late datagram
@@ -123,7 +123,9 @@
         finally:
             del self.waiting[nonce]
 
-    async def _answered(self, expected: Expected, timeout_s: float) -> bool:
+    async def _wait_for_answer(
+        self, expected: Expected, timeout_s: float
+    ) -> bool:
         try:
             await asyncio.wait_for(expected.answered, timeout_s)
         except TimeoutError:
@@ -175,15 +177,15 @@
             self.counts.add('probe.unreadable')
             return
         if probe.kind == PING:
-            self._take_ping(probe, facts, address)
+            self._handle_ping(probe, facts, address)
         elif probe.kind == PING_REQUEST:
-            self._take_request(probe, address)
+            self._handle_request(probe, address)
         elif probe.kind in (ACK, RECEIVED):
-            self._take_answer(probe, facts, address)
+            self._handle_answer(probe, facts, address)
         else:
             self.counts.add('probe.unreadable')
 
-    def _take_ping(
+    def _handle_ping(
         self,
         probe: control_pb2.Probe,
         facts: list[members.MemberRecord],
@@ -199,14 +201,14 @@
         refuting = [mine] if facts and mine is not None else []
         self._send_to(ACK, probe.nonce, self.host, address, refuting)
 
-    def _take_request(
+    def _handle_request(
         self, probe: control_pb2.Probe, address: Address
     ) -> None:
         record = self.fleet.record_of(probe.subject)
         if record is None or probe.subject == self.host:
             self.counts.add('probe.misdirected')
             return
-        if len(self.relayed) >= MAX_RELAYED:
+        if len(self.relayed) >= MAX_RELAYED_PROBES:
             self.counts.add('probe.relay-refused')
             return
         self._send_to(RECEIVED, probe.nonce, probe.subject, address, [])
@@ -224,7 +226,7 @@
             facts = [latest] if latest is not None else []
             self._send_to(ACK, nonce, record.host, address, facts)
 
-    def _take_answer(
+    def _handle_answer(
         self,
         probe: control_pb2.Probe,
         facts: list[members.MemberRecord],
@@ -234,7 +236,7 @@
         if expected is None:
             self.counts.add('probe.stale')
             return
-        if not expected.given_by(probe, address):
+        if not expected.accepts(probe, address):
             self.counts.add('probe.wrong-source')
             return
         expected.heard.add(probe.source)
@@ -249,7 +251,7 @@
 
 
 class _Protocol(asyncio.DatagramProtocol):
-    def __init__(self, pings: Pings) -> None:
+    def __init__(self, pings: ProbeEndpoint) -> None:
         self.pings = pings
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
@@ -261,7 +263,7 @@
 
 @contextlib.asynccontextmanager
 async def listening(
-    pings: Pings, address: str, port: int
+    pings: ProbeEndpoint, address: str, port: int
 ) -> AsyncIterator[int]:
     """Open the probe port and yield the one in use.
 
--- a/src/peridotpost/membership/probing.py
+++ b/src/peridotpost/membership/probing.py
@@ -47,9 +47,11 @@
         self.period_s = period_s
         self.timeout_s = timeout_s
         self.observer = observers.Observer(randomness, suspicion_s)
-        self.pause = suspicion.PauseGuard(period_s, clock.now())
+        self.pause = suspicion.PauseDetector(period_s, clock.now())
         self.paused: list[Callable[[], None]] = []
-        self.pings = pings.Pings(host, fleet, counts, randomness, timeout_s)
+        self.pings = pings.ProbeEndpoint(
+            host, fleet, counts, randomness, timeout_s
+        )
 
     def observe(self, record: members.MemberRecord) -> None:
         """Follow a member's status, whoever found it out."""
@@ -61,22 +63,24 @@
         if self.pause.paused(now):
             # The first thing a thawed process sees is its own expired
             # timers; acting on them would declare half the zone dead.
-            self._own_pause(now)
+            self._handle_own_pause(now)
             return
         others = [one for one in self.fleet.live() if one.host != self.host]
-        candidates = suspicion.probed_from(self.zone, others)
+        candidates = suspicion.hosts_to_probe(self.zone, others)
         subjects = self.observer.subjects(candidates, now)
         await asyncio.gather(
             *(self._probe(subject, others) for subject in subjects)
         )
         ended = self.clock.now()
-        if suspicion.overslept(
-            pings.PATIENCE * self.timeout_s, ended - now, self.period_s
+        if suspicion.wait_overran(
+            pings.TIMEOUTS_PER_PROBE * self.timeout_s,
+            ended - now,
+            self.period_s,
         ):
-            self._own_pause(ended)
-        self.pause.rested(ended)
+            self._handle_own_pause(ended)
+        self.pause.reset(ended)
 
-    def _own_pause(self, now: float) -> None:
+    def _handle_own_pause(self, now: float) -> None:
         self.counts.add('probe.own-pause')
         self.observer.suspicions.restart(now)
         for listener in self.paused:
@@ -88,7 +92,7 @@
         record = self.fleet.record_of(subject)
         if record is None:
             return
-        evidence = await self._evidence(record, others)
+        evidence = await self._probe_result(record, others)
         latest = self.fleet.record_of(subject)
         if latest is None or latest.incarnation != record.incarnation:
             return
@@ -99,25 +103,25 @@
         elif verdict is observers.Verdict.DEAD:
             self.fleet.offer(suspicion.dead(latest))
 
-    async def _evidence(
+    async def _probe_result(
         self,
         record: members.MemberRecord,
         others: list[members.MemberRecord],
-    ) -> observers.Evidence:
+    ) -> observers.ProbeResult:
         started = self.clock.now()
         if await self.pings.ping(record):
-            return observers.Evidence(answered=True)
+            return observers.ProbeResult(answered=True)
         near = [o.host for o in others if o.availability_zone == self.zone]
         far = [o.host for o in others if o.availability_zone != self.zone]
         helpers = self.observer.round.helpers(record.host, near, far)
-        answered, heard = await self.pings.ping_through(record, helpers)
+        answered, heard = await self.pings.ping_via(record, helpers)
         took = self.clock.now() - started
-        return observers.Evidence(
+        return observers.ProbeResult(
             answered,
             len(helpers),
             heard,
-            suspicion.overslept(
-                pings.PATIENCE * self.timeout_s, took, self.period_s
+            suspicion.wait_overran(
+                pings.TIMEOUTS_PER_PROBE * self.timeout_s, took, self.period_s
             ),
         )
 
--- a/src/peridotpost/membership/seeds.py
+++ b/src/peridotpost/membership/seeds.py
@@ -101,11 +101,11 @@
         if not rules.is_due(record.host, zone, zone_hosts, stored):
             await self.withdraw()
             return False
-        if not self.lease or not await self._renewed():
+        if not self.lease or not await self._renew():
             await self._write(record, zone_hosts)
         return True
 
-    async def _renewed(self) -> bool:
+    async def _renew(self) -> bool:
         """Renew the lease; a process that was paused may find it lapsed."""
         renewed = await self.platform.keep_alive(self.lease)
         if isinstance(renewed, result.Err):
@@ -125,12 +125,12 @@
         found = await self.platform.read_prefix(prefix)
         if isinstance(found, result.Err):
             return
-        standing = {kv.key: kv for kv in found.ok_value}
-        hosts = [key.removeprefix(prefix) for key in standing]
+        existing = {kv.key: kv for kv in found.ok_value}
+        hosts = [key.removeprefix(prefix) for key in existing]
         if not rules.is_due(record.host, zone, zone_hosts, hosts):
             return
         mine = seed_of(record)
-        current = standing.get(f'{prefix}{record.host}')
+        current = existing.get(f'{prefix}{record.host}')
         if current is not None and not self._may_replace(current, mine):
             return
         await self._swap(f'{prefix}{record.host}', current, mine)
--- a/src/peridotpost/membership/targets.py
+++ b/src/peridotpost/membership/targets.py
@@ -54,7 +54,7 @@
         self.ttl_s = ttl_s
         self.counts = counts
         self.found: dict[tuple[str, str], LocalTarget] = {}
-        self.pause: suspicion.PauseGuard | None = None
+        self.pause: suspicion.PauseDetector | None = None
 
     def announce(self, target: LocalTarget) -> None:
         """Take in an announcement, new or repeated.
@@ -69,7 +69,7 @@
         key = (target.service, target.name)
         old = self.found.get(key)
         if old is not None:
-            self._keep_apart(old, target)
+            self._check_port_change(old, target)
         self.found[key] = target
         if old is None or old.state is not target.state:
             logs.state_changed(
@@ -80,7 +80,7 @@
             )
         self._publish()
 
-    def _keep_apart(self, old: LocalTarget, new: LocalTarget) -> None:
+    def _check_port_change(self, old: LocalTarget, new: LocalTarget) -> None:
         if new.port == old.port:
             new.replaced = old.replaced
             return
@@ -113,7 +113,7 @@
         """
         if self.pause is None:
             period_s = self.ttl_s / EXPIRY_CHECKS
-            self.pause = suspicion.PauseGuard(period_s, now, PAUSE_FACTOR)
+            self.pause = suspicion.PauseDetector(period_s, now, PAUSE_FACTOR)
         if self.pause.paused(now):
             self.counts.add('target.own-pause')
             for target in self.found.values():
--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -15,11 +15,15 @@
 @pytest.mark.parametrize(
     ('near', 'far', 'asked', 'wanted'),
     [
-        pytest.param(11, 48, 0, asking.ENOUGH, id='a few of the zone'),
+        pytest.param(
+            11, 48, 0, asking.MAX_SAME_ZONE_PEERS, id='a few of the zone'
+        ),
         pytest.param(11, 48, 3, 0, id='enough were asked'),
         pytest.param(11, 48, 1, 2, id='one answer may still come'),
         pytest.param(2, 48, 0, 2, id='a small zone'),
-        pytest.param(0, 48, 0, asking.ENOUGH_FAR, id='alone in its zone'),
+        pytest.param(
+            0, 48, 0, asking.MAX_OTHER_ZONE_PEERS, id='alone in its zone'
+        ),
         pytest.param(0, 48, 1, 0, id='alone, and asked'),
         pytest.param(0, 0, 0, 0, id='nobody'),
     ],
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -103,7 +103,7 @@
     assert len(read_at) <= 5
     pauses = [b - a for a, b in zip([10.0, *read_at], read_at, strict=False)]
     # And none of them has to wait longer for a version than before.
-    assert max(pauses) <= following.READ_FOR_S + BEAT_S / len(hosts)
+    assert max(pauses) <= following.PEER_READ_WAIT_S + BEAT_S / len(hosts)
 
 
 def test_one_that_loses_the_store_is_replaced_by_another_that_follows() -> (
--- a/testing/test_pacing.py
+++ b/testing/test_pacing.py
@@ -49,7 +49,7 @@
 def test_wave_beyond_the_longest_wait_is_still_sent_away_in_bounds() -> None:
     limit = pacing.JoinLimit(0.0)
     waits = [limit.admit(0.0) for _ in range(5200)]
-    assert max(waits) <= pacing.MAX_COME_BACK_S + 1 / pacing.JOINS_PER_S
+    assert max(waits) <= pacing.MAX_RETRY_AFTER_S + 1 / pacing.JOINS_PER_S
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
     choice = pacing.ParentChoice(randomness)
     for _ in range(20):
         choice.ended('a', 0.0, 0.001)
-    choice.ended('a', 100.0, pacing.STOOD_S)
+    choice.ended('a', 100.0, pacing.STABLE_STREAM_S)
     _, wait_s = choice.choose(('a',), 100.0)
     assert wait_s <= pacing.BASE_S
 
--- a/testing/test_seeds.py
+++ b/testing/test_seeds.py
@@ -222,5 +222,5 @@
 
 def test_records_are_read_often_at_first_and_seldom_later() -> None:
     looks = [rules.looks_for_others(count) for count in range(126)]
-    assert all(looks[: rules.FIRST_LOOKS])
-    assert sum(looks[rules.FIRST_LOOKS :]) == 120 // rules.LOOK_EVERY
+    assert all(looks[: rules.INITIAL_READS])
+    assert sum(looks[rules.INITIAL_READS :]) == 120 // rules.RENEWALS_PER_READ
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -112,7 +112,7 @@
     def probe(self, source: str, to: str, live: Collection[str]) -> None:
         seen = self.records[to]
         if self.ping(source, to):
-            evidence = observers.Evidence(answered=True)
+            evidence = observers.ProbeResult(answered=True)
         else:
             evidence = self.probe_through(source, to, live)
         latest = self.records[to]
@@ -127,7 +127,7 @@
 
     def probe_through(
         self, source: str, to: str, live: Collection[str]
-    ) -> observers.Evidence:
+    ) -> observers.ProbeResult:
         near = set(live) - {source}
         helpers = self.observers[source].round.helpers(to, near)
         heard, answered = 0, False
@@ -136,7 +136,7 @@
                 continue
             heard += self.passes(helper, source)
             answered |= self.ping(helper, to) and self.passes(helper, source)
-        return observers.Evidence(answered, len(helpers), heard)
+        return observers.ProbeResult(answered, len(helpers), heard)
 
     def run(self, rounds: int, only: Collection[str] = ()) -> None:
         for _ in range(rounds):
@@ -231,27 +231,37 @@
     assert one.lasts_s(SUSPICION_S) == pytest.approx(lasts_s, abs=0.001)
 
 
-Evidence, Verdict = observers.Evidence, observers.Verdict
+ProbeResult, Verdict = observers.ProbeResult, observers.Verdict
 
 
 @pytest.mark.parametrize(
     ('status', 'evidence', 'after_s', 'verdict'),
     [
-        (ALIVE, Evidence(True), 0, Verdict.ALIVE),
-        (ALIVE, Evidence(False, 3, 1), 0, Verdict.SUSPECTED),
-        (ALIVE, Evidence(False, 0, 0), 0, Verdict.SUSPECTED),
-        (ALIVE, Evidence(False, 3, 0), 0, Verdict.ISOLATED),
-        (ALIVE, Evidence(False, 3, 3, overslept=True), 0, Verdict.UNCLEAR),
-        (SUSPECT, Evidence(False, 3, 3), 7.9, Verdict.STILL_SILENT),
-        (SUSPECT, Evidence(False, 3, 3), 8.0, Verdict.DEAD),
-        (SUSPECT, Evidence(True), 8.0, Verdict.ALIVE),
-        (SUSPECT, Evidence(False, 3, 0), 8.0, Verdict.ISOLATED),
-        (SUSPECT, Evidence(False, 3, 3, overslept=True), 8.0, Verdict.UNCLEAR),
+        (ALIVE, ProbeResult(True), 0, Verdict.ALIVE),
+        (ALIVE, ProbeResult(False, 3, 1), 0, Verdict.SUSPECTED),
+        (ALIVE, ProbeResult(False, 0, 0), 0, Verdict.SUSPECTED),
+        (ALIVE, ProbeResult(False, 3, 0), 0, Verdict.ISOLATED),
+        (
+            ALIVE,
+            ProbeResult(False, 3, 3, observer_paused=True),
+            0,
+            Verdict.UNCLEAR,
+        ),
+        (SUSPECT, ProbeResult(False, 3, 3), 7.9, Verdict.STILL_SILENT),
+        (SUSPECT, ProbeResult(False, 3, 3), 8.0, Verdict.DEAD),
+        (SUSPECT, ProbeResult(True), 8.0, Verdict.ALIVE),
+        (SUSPECT, ProbeResult(False, 3, 0), 8.0, Verdict.ISOLATED),
+        (
+            SUSPECT,
+            ProbeResult(False, 3, 3, observer_paused=True),
+            8.0,
+            Verdict.UNCLEAR,
+        ),
     ],
 )
 def test_verdict_on_one_probe(
     status: members.Status,
-    evidence: observers.Evidence,
+    evidence: observers.ProbeResult,
     after_s: float,
     verdict: observers.Verdict,
     randomness: random.Random,
@@ -266,7 +276,7 @@
     randomness: random.Random,
 ) -> None:
     one = suspicion.Suspicions(SUSPICION_S)
-    one.found_silent(record_of('a'), 0.0)
+    one.record_silence(record_of('a'), 0.0)
     one.observe(record_of('a', SUSPECT, incarnation=2), 3.0)
     assert one.expired(10.9) == []
     assert one.expired(11.0) == ['a']
@@ -283,7 +293,7 @@
 def test_observer_notices_its_own_pause(
     gaps: list[float], paused: bool
 ) -> None:
-    guard, now, seen = suspicion.PauseGuard(PERIOD_S, 0.0), 0.0, []
+    guard, now, seen = suspicion.PauseDetector(PERIOD_S, 0.0), 0.0, []
     for gap in gaps:
         now += gap
         seen.append(guard.paused(now))
@@ -306,7 +316,7 @@
     fleet = [record_of(f'a{n}') for n in range(4)]
     fleet += [record_of('b0', availability_zone='b')]
     fleet += [record_of(f'c{n}', availability_zone='c') for n in range(3)]
-    hosts = suspicion.probed_from('z', fleet)
+    hosts = suspicion.hosts_to_probe('z', fleet)
     assert hosts == ['a0', 'a1', 'a2', 'a3', 'b0']
 
 
@@ -531,7 +541,7 @@
     randomness: random.Random,
 ) -> None:
     with open_prober(randomness) as (prober, _, sent, counts):
-        for nonce in range(pings.MAX_RELAYED + 5):
+        for nonce in range(pings.MAX_RELAYED_PROBES + 5):
             request = control_pb2.Probe(
                 kind=pings.PING_REQUEST,
                 nonce=nonce,
@@ -541,8 +551,10 @@
             prober.pings.received(request.SerializeToString(), HELPER)
         await asyncio.sleep(0)
         kinds = [(probe.kind, to) for probe, to in sent.datagrams]
-        assert kinds.count((pings.RECEIVED, HELPER)) == pings.MAX_RELAYED
-        assert kinds.count((pings.PING, SUBJECT)) == pings.MAX_RELAYED
+        assert (
+            kinds.count((pings.RECEIVED, HELPER)) == pings.MAX_RELAYED_PROBES
+        )
+        assert kinds.count((pings.PING, SUBJECT)) == pings.MAX_RELAYED_PROBES
         assert counts.totals['probe.relay-refused'] == 5
         for task in tuple(prober.pings.relayed):
             task.cancel()
