--- a/src/peridotpost/decisions/asking.py
+++ b/src/peridotpost/decisions/asking.py
@@ -1,19 +1,21 @@
-"""Whom a daemon asks for the fleet while the store is out.
-
-Load pattern: the store turns all daemons away in the same moment, and
-each wants to know of hosts that it may have missed.  Every answer lists
-the whole fleet.  With 60 hosts, each asking all others on all streams,
-600 KB come to each host at once: a second of a link of 5 Mbit/s, in which
-requests wait, pings stay unanswered, healthy hosts are taken for silent,
-and what they run is given up; between zones it was most of the day's
-bytes.
-
-- ``ENOUGH`` answers are wanted, from the own zone.  All of a zone know
-  much the same, and one that differs is heard of from the others.
-- Another zone is asked only where the own one has nobody, and once.
-
-Grounds: two answers may be lost with the daemons that owe them, and the
-third still comes; 3 x 6 KB take 0.06 s of a link of 2.5 Mbit/s.
+"""Which peers a daemon asks for the member list while the store is down.
+
+A store outage hits all daemons at the same moment, and each of them then
+wants to learn of hosts it may have missed.  Every answer lists the whole
+fleet.  If each of 60 hosts asked all others on every stream, each would
+receive 600 KB at once: one second of a 5 Mbit/s link, during which requests
+queue, pings go unanswered, healthy hosts are taken for silent and the work
+on them is given up.  Between zones these answers were most of a day's
+traffic.
+
+- Up to ``MAX_SAME_ZONE_PEERS`` peers of the own zone are asked.  The hosts
+  of a zone know much the same members; what one of them lacks arrives
+  through the others.
+- A peer of another zone is asked only if the own zone has none, and only
+  one of them.
+
+With three peers two answers may be lost; three answers of 6 KB take 0.06 s
+on a 2.5 Mbit/s link.
 """
 
 from collections.abc import Sequence
@@ -25,9 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Neighbour:
-    """A daemon that could be asked.
+    """A peer that can be asked for the member list.
 
-    :param asked: whether it was, on the stream that it has now.
+    :param other_zone: it is in another availability zone.
+    :param asked: it has already been asked on its current stream.
     """
 
     host: str
@@ -36,7 +39,7 @@
 
 
 def to_ask(candidates: Sequence[Neighbour]) -> list[str]:
-    """Return the hosts to ask now, in the order given."""
+    """Return the hosts to ask now, in the order of `candidates`."""
     same_zone = [one for one in candidates if not one.far]
     pool, limit = (
         (same_zone, MAX_SAME_ZONE_PEERS)
--- a/src/peridotpost/decisions/fleet.py
+++ b/src/peridotpost/decisions/fleet.py
@@ -1,21 +1,21 @@
-"""Merging what is heard of the fleet's members.
-
-Load pattern: records of one member arrive late, twice and crossed, by
-streams, probes and reconciliation at once.  Without a total order on a
-member's records two daemons could end with different fleets.
-
-The order is (incarnation, status, sequence).  Only the member itself
-raises its incarnation and sequence, so the highest record is its latest
-word, except that a suspicion or death at the same incarnation overrides
-it until it answers with a higher incarnation.
-
-Two daemons compare their fleets by sums over buckets of members first,
-and by the members' marks only in buckets whose sums differ.  Without the
-sums each comparison would carry 22 bytes and the name's length over 9 for
-every member: 114 KB at 5,200 members with short names, and every 10 s
-that alone is over a daemon's 7 KB/s.  With 64 buckets the sums take 512
-bytes, and a bucket that differs costs the marks of about 81 members, some
-2 KB (both measured by ``test_versions_rules``).
+"""Merges the records of the fleet's members.
+
+Records of one member arrive late, repeated and out of order, from streams,
+probes and reconciliation at once.  Without a total order on a member's
+records two daemons could end up with different fleets.
+
+The order is (incarnation, status, sequence).  Only the member itself raises
+its incarnation and sequence, so the highest record is its latest, except
+that a suspicion or death at the same incarnation overrides it until the
+member answers with a higher incarnation.
+
+Two daemons compare their fleets by checksums over buckets of members first,
+and by the members' marks only in buckets whose checksums differ.  Without
+the checksums each comparison would carry 22 bytes plus the name's length
+over 9 for every member: 114 KB at 5,200 members with short names, which
+every 10 s alone exceeds a daemon's budget of 7 KB/s.  The checksums of 64
+buckets take 512 bytes, and a bucket that differs costs the marks of about
+81 members, some 2 KB (``test_versions_rules`` checks both).
 """
 
 from collections.abc import Iterable
@@ -28,9 +28,9 @@
 from peridotpost.model import members
 
 TOMBSTONE_S = 86_400.0
-"""Seconds for which a departed member is remembered.  Forgetting it sooner
-than the longest partition would let a daemon that was cut off bring the
-dead record back as live; a day covers "regions cut for minutes" by far."""
+"""How long a departed member is remembered.  If it were forgotten before the
+longest partition ends, a daemon that was cut off would bring the record
+back as live.  Expected partitions last minutes."""
 BUCKETS = 64
 ALL_BUCKETS = frozenset(range(BUCKETS))
 SUM_MODULUS = 2**64
@@ -41,11 +41,11 @@
 
 
 def _bucket_term(record: members.MemberRecord) -> int:
-    """Return what a record adds to its bucket's sum; 0 once departed.
+    """Return what a record adds to its bucket's checksum; 0 once departed.
 
-    Departed members stay out of the sums, or a daemon that has forgotten
-    one would differ for ever from another that has not, and each would
-    teach the other its dead anew.
+    Departed members are left out: otherwise a daemon that has forgotten one
+    would always differ from a daemon that has not, and they would keep
+    sending each other their departed members.
     """
     if not record.live:
         return 0
@@ -59,7 +59,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Fleet:
-    """The records that one daemon holds, by host."""
+    """The member records that one daemon holds, by host.
+
+    :param departed_at: when each departed member was first seen so.
+    :param sums: checksum of the live members of each bucket.
+    :param live_by_zone: cache of :meth:`by_zone`; None when outdated.
+    """
 
     records: dict[str, members.MemberRecord] = dataclasses.field(
         default_factory=dict
@@ -69,7 +74,7 @@
     live_by_zone: dict[str, list[members.MemberRecord]] | None = None
 
     def merge(self, record: members.MemberRecord, now: float) -> bool:
-        """Keep `record` if it is later than the one held; say whether."""
+        """Store `record` if it is newer; return whether it was."""
         held = self.records.get(record.host)
         if held is not None and record.mark <= held.mark:
             return False
@@ -86,7 +91,7 @@
         return True
 
     def forget(self, now: float) -> list[str]:
-        """Drop members that departed long ago; return their hosts."""
+        """Drop members departed for over TOMBSTONE_S; return their hosts."""
         gone = [
             host
             for host, at in self.departed_at.items()
@@ -109,8 +114,8 @@
     def by_zone(self) -> Mapping[str, list[members.MemberRecord]]:
         """Return the live members of each availability zone.
 
-        Asked each second by the prober and eleven times by a relay's
-        plan; gone through anew each time, 5,200 records take 4 ms.
+        Cached: the prober calls this each second and a relay's plan eleven
+        times, and going through 5,200 records takes 4 ms.
         """
         if self.live_by_zone is None:
             self.live_by_zone = {}
@@ -123,7 +128,7 @@
         return self.live_by_zone
 
     def differing(self, sums: Iterable[int]) -> frozenset[int]:
-        """Return the buckets in which a holder of `sums` differs."""
+        """Return the buckets whose checksum differs from `sums`."""
         pairs = zip(self.sums, sums, strict=True)
         return frozenset(
             bucket for bucket, (mine, its) in enumerate(pairs) if mine != its
@@ -134,11 +139,11 @@
         marks: Mapping[str, members.MemberMark],
         buckets: frozenset[int] = ALL_BUCKETS,
     ) -> list[members.MemberRecord]:
-        """Return the records of `buckets` that a holder of `marks` lacks.
+        """Return the records in `buckets` that are newer than `marks`.
 
-        A departed member that the holder never knew, or has forgotten, is
-        left out: told of it, the holder would remember it for another
-        TOMBSTONE_S and tell others in turn, and no daemon ever forgot.
+        A departed member that is missing from `marks` is left out: its
+        receiver would remember it for another TOMBSTONE_S and pass it on,
+        so that no daemon would ever forget it.
         """
         return [
             record
@@ -152,7 +157,7 @@
         return record.live if mark is None else mark < record.mark
 
     def older_than(self, marks: Mapping[str, members.MemberMark]) -> list[str]:
-        """Return the hosts of whom a holder of `marks` knows more."""
+        """Return the hosts for which `marks` are newer than the records."""
         return [
             host
             for host, mark in marks.items()
--- a/src/peridotpost/decisions/following.py
+++ b/src/peridotpost/decisions/following.py
@@ -1,49 +1,51 @@
-"""Whether a daemon reads the configuration from the store itself.
+"""When a daemon reads the configuration from the store itself.
 
-Load pattern: versions come several a second while a fleet's links differ
-by a factor of fifty.  A watch brings each version whole, and on a slow link
-every request waits behind it.
+Versions can come several times a second, while the link speeds of a fleet
+differ by a factor of fifty.  A watch on the store delivers each version in
+full, and on a slow link all requests wait behind it.
 
-A daemon with a slow link leaves the reading to those of its zone that have
-a fast one, and gets differences from them.  When none of those has been
-heard of for ``HEARD_S`` it reads the store itself, at most once in
-``READ_EVERY_S``: a zone without fast links, or whose fast ones are cut off
-from the store, is as current as its own reads are.
+A daemon with a slow link therefore leaves the watch to the daemons of its
+zone that have a fast link (the followers) and receives differences from
+them.  If no follower has announced itself for
+``FOLLOWER_TIMEOUT_S``, it reads the store itself, at most once in
+``MIN_READ_INTERVAL_S``.  So a zone without fast
+links, or whose fast links lost the store, is as current as its own reads.
 
-One that follows the store and loses it says so at once, and is not waited
-for.
+A follower that loses the store announces this at once and is no longer
+waited for.
 
-Of a zone's slow ones one reads at a time, in random order: it says so before
-it begins, and the others leave it to that one for ``READ_FOR_S``.
+Only one daemon with a slow link per zone reads at a time, in random order:
+it announces the read first, and the others hold back for
+``PEER_READ_WAIT_S``.
 
-While the store is out nobody follows it, so nobody is heard of.  When it
-comes back, the fast ones are heard of within a beat, and a daemon with a
-slow link waits for that.
+While the store is down there are no followers.  When it comes back,
+followers announce themselves within one heartbeat, and daemons with slow
+links wait for that.
 """
 
 import dataclasses
 
 SLOW_LINK_MBPS = 20.0
 HEARD_S = 2.0
-"""More than two beats, so that two may be lost."""
+"""Longer than two heartbeats, so that two may be lost."""
 BEAT_S = 0.8
 READ_EVERY_S = 2.0
 PEER_READ_WAIT_S = 0.9
-"""More than a beat, in which each of the others looks whether it is to
-read."""
+"""Longer than a heartbeat, at which each daemon checks whether to read."""
 
 
 @dataclasses.dataclass(slots=True)
 class Following:
-    """What decides for one daemon.
-
-    :param start: of this daemon; those that follow get `HEARD_S` from then
-        to be heard of.
-    :param heard_by_host: when each that follows the store was last heard of.
-    :param answers: whether the store answers this daemon; None until it
-        was asked.
-    :param since: from when on it does again.
-    :param others_read_at: when one of the zone's slow ones last began to read.
+    """Decides for one daemon when it reads the store.
+
+    :param start: when this daemon started; followers have
+        `FOLLOWER_TIMEOUT_S` from then on to announce themselves.
+    :param last_heard_by_host: when each follower last announced itself.
+    :param store_reachable: whether the store answers this daemon; None until the
+        first attempt.
+    :param store_back_at: when the store last became reachable again.
+    :param peer_read_at: when another daemon of the zone with a slow link
+        last began to read.
     """
 
     link_mbps: float
@@ -60,35 +62,38 @@
 
     @property
     def follows(self) -> bool:
-        """Whether this daemon reads the store for others, and reaches it."""
+        """Whether this daemon is a follower: fast link, store reachable."""
         return self.answers is True and not self.slow
 
     def heard(self, host: str, now: float) -> bool:
-        """Note that a host with a fast link says that it follows.
+        """Record the announcement of a follower.
 
-        Returns whether no other one was known to follow.
+        Returns whether it is the only follower known.
         """
         first = not self.heard_by_host
         self.heard_by_host[host] = now
         return first
 
     def lost(self, host: str) -> None:
-        """Note that a host says that the store does not answer it."""
+        """Record that a host announced that it lost the store."""
         if self.heard_by_host.pop(host, None) and not self.heard_by_host:
             self.start = -HEARD_S
 
     def others_read(self, now: float) -> None:
-        """Note that another host with a slow link begins to read the store."""
+        """Record that another host with a slow link begins a read."""
         self.others_read_at = now
 
     def store_answers(self, answers: bool, now: float) -> None:
-        """Note whether the store answers this daemon."""
+        """Record whether the store answers this daemon."""
         if answers and self.answers is False:
             self.since = now
         self.answers = answers
 
     def reads_now(self, now: float) -> bool:
-        """Whether a daemon with a slow link is to read the store now."""
+        """Whether this daemon, on a slow link, should read the store now.
+
+        True also records the read.
+        """
         if self.answers is False:
             return False
         heard_at = max(self.start, self.since, *self.heard_by_host.values())
--- a/src/peridotpost/decisions/incarnations.py
+++ b/src/peridotpost/decisions/incarnations.py
@@ -1,31 +1,30 @@
-"""Which announcement of a target counts.
+"""Which announcement of a target takes effect.
 
-Failure: announcements may come seconds late, or once more.  A late
-``ready`` after a drain was acknowledged would send work to a target that
-ends; a late word of a dead incarnation would revive its address, which
-may serve another by then.
+Announcements may arrive seconds late or twice.  A late ``ready`` after an
+acknowledged drain would send work to a target that is shutting down; a late
+announcement of an ended incarnation would bring back its address, which may
+belong to another target by then.
 
-Incarnations are ordered by their start, announcements of one by their
-sequence number.  A target that said it drains or is gone never becomes
-ready again under the same incarnation.
+Incarnations are ordered by their start time, announcements of one
+incarnation by their sequence number.  A target that announced that it is
+draining or gone never becomes ready again in the same incarnation.
 """
 
 from peridotpost.model import instances
 
 MAX_ENDED_INSTANCES = 64
-"""Ended incarnations remembered, by id; a host's target is replaced a few
-times an hour at most."""
+"""A host's target is replaced a few times an hour at most."""
 
 
 class InstanceLog:
-    """The target of this host, as told by its announcements."""
+    """The state of this host's target, from its announcements."""
 
     def __init__(self) -> None:
         self.current: instances.Announcement | None = None
         self.ended: dict[str, int] = {}
 
     def offer(self, announcement: instances.Announcement) -> bool:
-        """Take an announcement; return whether it changed anything."""
+        """Apply an announcement; return whether it changed anything."""
         if announcement.born_ms <= self.ended.get(announcement.instance, -1):
             return False
         known = self.current
@@ -37,7 +36,7 @@
         return known is None or _differs(announcement, known)
 
     def leave(self, instance: str, born_ms: int) -> bool:
-        """Note that `instance` leaves; return whether it was the current."""
+        """Record that `instance` left; return whether it was the current."""
         self._record_end(instance, born_ms)
         known = self.current
         if known is None or known.instance != instance:
--- a/src/peridotpost/decisions/logbudget.py
+++ b/src/peridotpost/decisions/logbudget.py
@@ -1,19 +1,19 @@
-"""Which lines about requests are written, and which only counted.
-
-Load pattern: under overload each daemon refuses hundreds of requests a
-second, after asking up to four guards for each.  Written out, these lines
-cost more than the requests; cut off by a plain limit, the guards' lines
-push out those that tell what callers received.
-
-- All share one bucket.  What a caller received unless it was served may
-  empty it; steps on the way only use the upper half of it, so that the
-  lower half is left for the endings.
-- Of the requests that were served, one in ``SERVED_EVERY_S`` is told: an
-  example to compare with.
-
-Grounds: 20 lines of some 250 bytes are the 5 KB a second that an ordinary
-collector takes from a process; a bucket of five seconds holds the first
-lines of a burst, which show its cause best.
+"""Which log lines about requests are written, and which are only counted.
+
+Under overload each daemon refuses hundreds of requests a second, after
+asking up to four guards for each.  Writing all these lines would cost more
+than the requests; with a plain rate limit the lines of the guards would
+displace those that show what callers received.
+
+- All lines share one token bucket.  Lines about the outcome of a request
+  that was not served may empty it; lines about intermediate steps use only
+  the upper half.
+- Of the served requests one in ``SERVED_SAMPLE_INTERVAL_S`` is logged, as a
+  sample for comparison.
+
+20 lines of about 250 bytes are the 5 KB/s that an ordinary collector takes
+from a process.  A bucket of five seconds holds the first lines of a burst,
+which show its cause best.
 """
 
 import enum
@@ -24,14 +24,14 @@
 
 
 class Weight(enum.Enum):
-    """What a line tells of, and how full the bucket has to be for it."""
+    """Kinds of lines; the value is how full the bucket must be for one."""
 
     ENDING = 0.0
     STEP = 0.5
 
 
 class LineBudget:
-    """A token bucket with a reserve for what matters most."""
+    """A token bucket with a reserve for lines about outcomes."""
 
     def __init__(self) -> None:
         self.tokens = BURST_LINES
@@ -39,10 +39,10 @@
         self.next_served_at = 0.0
 
     def takes(self, weight: Weight, now: float) -> bool:
-        """Whether a line may be written.
+        """Take a token for a line; return whether it may be written.
 
-        :param now: seconds of a clock that may jump; a step back adds
-            nothing.
+        :param now: seconds of a clock that may jump; a step back adds no
+            tokens.
         """
         grown = self.tokens + max(0.0, now - self.filled_at) * LINES_PER_S
         self.tokens = min(BURST_LINES, grown)
@@ -53,9 +53,9 @@
         return True
 
     def takes_served(self, now: float) -> bool:
-        """Whether this served request is the example of its second.
+        """Whether this served request is logged as a sample.
 
-        :param now: seconds of a steady clock.
+        :param now: seconds of a monotonic clock.
         """
         if now < self.next_served_at:
             return False
--- a/src/peridotpost/decisions/observer.py
+++ b/src/peridotpost/decisions/observer.py
@@ -1,8 +1,8 @@
-"""What one daemon concludes of others from its probes.
+"""What one daemon concludes about other members from its probes.
 
-The rules and their grounds are those of ``decisions.suspicion``; here they
-are put together for one observer, so that a zone of thousands runs in one
-process against any table of losses.
+Applies the rules of ``decisions.suspicion`` for a single observer, without
+I/O, so that a test can run thousands of observers in one process with
+simulated packet loss.
 """
 
 from collections.abc import Collection
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """How a probe of one member went.
+    """The result of probing one member.
 
     :param answered: the member answered, directly or through a helper.
-    :param helpers: how many were asked to probe it too.
-    :param helpers_heard: how many said that they were asked.
-    :param overslept: the observer was paused while it waited.
+    :param helpers: number of helpers asked to probe it as well.
+    :param helpers_heard: number of helpers that confirmed the request.
+    :param observer_paused: this process was paused while it waited.
     """
 
     answered: bool
@@ -31,7 +31,7 @@
 
 
 class Verdict(enum.Enum):
-    """What follows from a probe."""
+    """The conclusion from a probe; values are names of counters."""
 
     ALIVE = 'alive'
     UNCLEAR = 'unclear'
@@ -42,7 +42,7 @@
 
 
 class Observer:
-    """One daemon's view of who answers."""
+    """One daemon's view of which members answer."""
 
     def __init__(self, randomness: random.Random, suspicion_s: float) -> None:
         self.randomness = randomness
@@ -50,10 +50,10 @@
         self.suspicions = suspicion.Suspicions(suspicion_s)
 
     def subjects(self, candidates: Collection[str], now: float) -> list[str]:
-        """Return whom to probe in this period, each once.
+        """Return the hosts to probe in this period, without duplicates.
 
-        Next in the round, suspects whose time is over, and some of those
-        that this observer itself found silent.
+        These are suspects whose suspicion expired, a sample of those that
+        this observer itself found silent, and the next of the round.
         """
         expired = self.suspicions.expired(now)[: suspicion.MAX_FINAL_PROBES]
         own = [one for one in self.suspicions.own() if one not in expired]
@@ -68,15 +68,15 @@
     def judge(
         self, record: members.MemberRecord, evidence: ProbeResult, now: float
     ) -> Verdict:
-        """Draw the conclusion from a probe of `record`'s host."""
+        """Return the conclusion from a probe of `record`'s host."""
         if evidence.answered:
             self.suspicions.record_answer(record.host, now)
             return Verdict.ALIVE
         if evidence.observer_paused:
             return Verdict.UNCLEAR
         if evidence.helpers and not evidence.helpers_heard:
-            # Not one of several others is heard: the fault is most likely
-            # here, and whoever is suspected cannot refute towards here.
+            # No helper was heard either: the fault is most likely on this
+            # side, and suspects cannot reach this observer to refute.
             self.suspicions.restart(now)
             return Verdict.ISOLATED
         due = self.suspicions.due(record.host, now)
--- a/src/peridotpost/decisions/pacing.py
+++ b/src/peridotpost/decisions/pacing.py
@@ -1,13 +1,13 @@
-"""How fast a daemon tries again, and how many may come at once.
+"""Retry delays, and limits on how many daemons may connect at once.
 
-Load pattern: a herd of daemons dies together and reconnects together, or
-the store comes back after an outage with all relays waiting.  Without
-spread the survivors would get every reconnect within one round trip, fail
-again, and meet the next synchronous wave.
+A large group of daemons may die and reconnect together, or the store may
+come back after an outage while all relays wait for it.  Without spreading,
+the survivors would get every reconnect within one round trip, fail again,
+and meet the next synchronized wave.
 
-Full jitter (uniform between nothing and the exponential bound) spreads a
-wave over the whole bound; the grounds are the usual ones: it is the only
-one of the common variants whose waves flatten on the first retry.
+Full jitter (uniform between zero and the exponential bound) spreads a wave
+over the whole bound; of the common variants it is the only one whose waves
+flatten with the first retry.
 """
 
 from collections.abc import Sequence
@@ -19,15 +19,19 @@
 JOINS_PER_S = 40
 JOIN_BURST = 16
 MAX_RETRY_AFTER_S = 15.0
-"""A daemon without a parent still hears by reconciliation, about every
-10 s; sent away for much longer it would do better with any other one."""
+"""A daemon without a parent is updated only by reconciliation, about every
+10 s; if it had to wait much longer, any other parent would serve it better."""
 STABLE_STREAM_S = 5.0
-"""A stream that stood this long was not refused in disguise."""
+"""A stream that lasted this long counts as a success; a parent may accept a
+stream only to drop it at once."""
 
 
 @dataclasses.dataclass(slots=True)
 class Backoff:
-    """Exponential back-off with full jitter; `base_s` and `cap_s` bound it."""
+    """Exponential back-off with full jitter.
+
+    The bound grows from `base_delay_s` up to `max_delay_s`.
+    """
 
     randomness: random.Random
     base_s: float = BASE_S
@@ -35,7 +39,7 @@
     failures: int = 0
 
     def next_delay(self) -> float:
-        """Return the seconds to wait after one more failure."""
+        """Count a failure; return the seconds to wait before the next try."""
         bound = min(
             self.max_delay_s, self.base_s * 2 ** min(self.failures, 16)
         )
@@ -48,17 +52,17 @@
 
 @dataclasses.dataclass(slots=True)
 class JoinLimit:
-    """Token bucket for new streams at a parent, with slots to come back.
+    """Token bucket for new streams at a parent, with retry slots.
 
-    A child that comes back with what it held costs its parent under a
-    millisecond, and 40 a second take in a zone's children in a second or
-    two.  A child that knows nobody costs 70 to 100 ms at 5,200 members
-    (``bench.capacity``): a herd of those takes a core of each parent for
-    as long as it lasts, one or two seconds for the 16 that it has.
+    A child that reconnects with its former state costs its parent under a
+    millisecond, and 40 a second admit a zone's children in a second or two.
+    A child without state costs 70 to 100 ms at 5,200 members
+    (``bench.capacity``): the 16 children of a parent, all of them new,
+    occupy one core for one or two seconds.
 
-    Each that is refused gets a later slot than the one before.  With one
-    and the same time for all, a storm of 400 would come back as 400
-    within one token's time, and so on until it had died down by luck.
+    Each refused child gets a later slot than the one before.  If all were
+    given the same time, a wave of 400 would return as 400 within the time
+    of one token, again and again.
     """
 
     now: float
@@ -68,7 +72,7 @@
     slot: float = 0.0
 
     def admit(self, now: float) -> float:
-        """Return 0 to admit, else the seconds after which to come back."""
+        """Return 0 to admit, else the seconds after which to retry."""
         gained = (now - self.now) * self.rate
         self.tokens = min(self.burst, self.tokens + gained)
         self.now = now
@@ -84,7 +88,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PeerHistory:
-    """How one parent answered so far."""
+    """The earlier failures and refusals of one parent."""
 
     backoff: Backoff
     retry_at: float = 0.0
@@ -92,16 +96,16 @@
 
 @dataclasses.dataclass(slots=True)
 class ParentChoice:
-    """Which parent to dial next, and how long to wait before.
+    """Chooses which parent to dial next, and after which delay.
 
-    Load pattern: a parent that is full, storming, dead or hung, with all
-    of its children looking for another.  Without a memory for each parent
-    a refused child would wait for the very one that refused it while the
-    next in its list stands free; and one that takes a stream and drops it
-    at once would be dialled without end.
+    A parent may be full, overloaded, dead or hung, and then all of its
+    children look for another.  Without a history for each parent a refused
+    child would wait for the parent that refused it while the next in its
+    list is free, and a parent that accepts streams and drops them at once
+    would be dialled in a tight loop.
 
-    A refusal is honoured to the millisecond, with up to a quarter more so
-    that those who were refused together do not come back together.
+    The delay given with a refusal is never shortened, and lengthened by up
+    to a quarter so that children refused together do not return together.
     """
 
     randomness: random.Random
@@ -110,7 +114,7 @@
     def choose(
         self, candidates: Sequence[str], now: float
     ) -> tuple[str, float]:
-        """Return the peer to dial and the seconds to wait before that."""
+        """Return the peer to dial and the seconds to wait before dialling."""
         for peer in candidates:
             if self._history_of(peer).retry_at <= now:
                 return peer, 0.0
@@ -118,7 +122,7 @@
         return peer, self._history_of(peer).retry_at - now
 
     def ended(self, peer: str, now: float, lifetime_s: float) -> None:
-        """Take note that a dial failed or a stream ended."""
+        """Record that a dial failed or a stream ended."""
         past = self._history_of(peer)
         if lifetime_s >= STABLE_STREAM_S:
             past.backoff.reset()
@@ -129,7 +133,7 @@
         self._history_of(peer).retry_at = now + retry_after_s * spread
 
     def keep_only(self, candidates: Sequence[str]) -> None:
-        """Forget peers that are no candidates any more."""
+        """Forget peers that are no longer candidates."""
         for peer in set(self.past) - set(candidates):
             del self.past[peer]
 
--- a/src/peridotpost/decisions/poison.py
+++ b/src/peridotpost/decisions/poison.py
@@ -1,16 +1,16 @@
 """Which requests are refused because they crash their targets.
 
-Load pattern: a single request crashes each target that runs it, and its
-caller sends it again.  Without a memory of it one caller takes down all
-targets of a service, one after another, as fast as they come back.
-
-A request is known by its fingerprint (service, method, path, headers that
-the target sees, body) and, if it has one, by its idempotency key.  When
-it has crashed ``MAX_CRASHES`` targets it is refused for ``REFUSED_S``,
-twice as long each time that it crashes one more, and its sender is told
-why.  One crash may be the target's own; two of the same request within
-ten minutes are the request's.  Daemons tell each other of crashes, since
-the next attempt may come by way of any of them.
+A caller may keep retrying a request that crashes every target that runs it.
+Without a record of such requests, a single caller takes down all targets of
+a service one after another, as fast as they restart.
+
+A request is identified by its fingerprint (service, method, path, headers
+that the target sees, body) and by its idempotency key, if it has one.  Once
+it has crashed ``MAX_CRASHES`` targets it is refused for ``BASE_REFUSAL_S``,
+twice as long for each further crash, and the caller is told the reason.
+One crash may be the target's fault; two with the same request within ten
+minutes are attributed to the request.  Daemons tell each other of crashes,
+since the next attempt may come in through any of them.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
 BASE_REFUSAL_S = 60.0
 MAX_REFUSAL_S = 600.0
 MAX_SUSPECTS = 1000
-"""Bounds the memory, some 300 KB, against a flood of crash reports."""
+"""Limits the memory to some 300 KB during a flood of crash reports."""
 VOLATILE_HEADERS = frozenset(
     {
         'accept-encoding',
@@ -35,11 +35,11 @@
         'x-request-id',
     }
 )
-"""Headers that differ between two sendings of the same request."""
+"""Headers that may differ between two attempts of the same request."""
 
 
 def fingerprint(method: bytes, target: bytes, body: bytes) -> str:
-    """Return the one name of a request whose headers vary freely."""
+    """Return an identifier of a request that ignores all headers."""
     state = hashlib.blake2b(digest_size=8)
     for part in (method, target, body):
         state.update(len(part).to_bytes(8, 'big'))
@@ -48,7 +48,7 @@
 
 
 def fingerprints(call: calls.Call) -> tuple[str, ...]:
-    """Return the names by which `call` is known when it comes again."""
+    """Return the identifiers by which a retry of `call` is recognized."""
     state = hashlib.blake2b(digest_size=16)
     parts = [call.service, call.method, call.path]
     for header in call.headers:
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """A request and the crashes that it was seen to cause."""
+    """The crashes attributed to one request."""
 
     crashed: set[str] = dataclasses.field(default_factory=set)
     crashes: int = 0
@@ -74,7 +74,7 @@
 
 
 class PoisonList:
-    """The requests that one daemon knows to crash targets."""
+    """The requests that are known to one daemon for crashing targets."""
 
     def __init__(self) -> None:
         self.suspects: dict[str, Suspect] = {}
@@ -82,10 +82,11 @@
     def crashed(
         self, names: Iterable[str], target: str, incident: str, now: float
     ) -> None:
-        """Note that a request crashed `target`.
+        """Record that a request crashed `target`.
 
-        :param incident: names this one crash, which may be heard of by
-            several ways.
+        :param names: the identifiers of the request.
+        :param incident: identifies the crash, which may be reported several
+            times.
         """
         for name in names:
             suspect = self.suspects.get(name)
@@ -106,27 +107,27 @@
     def answered(self, call: calls.Call) -> None:
         """Clear a request that a target answered.
 
-        One that is asked for all the time runs at every target; it would
-        be blamed for two that were killed, though it crashes nothing.
+        A frequent request is running on most targets that get killed for
+        other reasons, and would otherwise be blamed for their crashes.
         """
         if self.suspects:
             self.cleared(fingerprints(call))
 
     def cleared(self, names: Iterable[str]) -> None:
-        """Clear a request by its names."""
+        """Clear the request with the identifiers `names`."""
         for name in names:
             self.suspects.pop(name, None)
 
     def refused_for_s(self, call: calls.Call, now: float) -> float:
-        """Return for how long `call` is still refused, 0 if it may run."""
-        # Nearly always empty; hashing each call would cost more than the
-        # rest of the choice.
+        """Return the seconds for which `call` is refused, 0 if it may run."""
+        # Usually empty; hashing every call would cost more than the rest of
+        # routing it.
         if not self.suspects:
             return 0.0
         return self.names_refused_for_s(fingerprints(call), now)
 
     def names_refused_for_s(self, names: Iterable[str], now: float) -> float:
-        """Return the same for a request known by `names`."""
+        """Return the same for the request with the identifiers `names`."""
         longest = 0.0
         for name in names:
             suspect = self.suspects.get(name)
@@ -135,7 +136,7 @@
         return longest
 
     def forget(self, now: float) -> None:
-        """Drop requests that crashed nothing for long."""
+        """Drop requests whose last crash and refusal are long past."""
         self.suspects = {
             name: suspect
             for name, suspect in self.suspects.items()
--- a/src/peridotpost/decisions/progress.py
+++ b/src/peridotpost/decisions/progress.py
@@ -1,13 +1,13 @@
-"""How far an accepted version has come in the tree below a daemon.
+"""The progress of an accepted version in the tree below a daemon.
 
-Load pattern: an operator asks whether a version is in force on thousands
-of daemons.  Asking each of them would be one call for every daemon and
-time; here each child tells its parent the lowest revision in force at and
-below it, so that asking one relay of each availability zone is enough.
+Operators ask whether a version is in force on thousands of daemons, and one
+call to each of them would be too many.  Instead each child reports to its
+parent the lowest revision in force on itself and all daemons below it, so
+that asking one relay of each availability zone is enough.
 
-The parent of others sends a word only when it changes.  A version in
-force moves a parent's lowest revision once, when its last child has it,
-so one version costs one small message a link, whatever the fan-out.
+A report is sent only when it changes.  A new version raises the lowest
+revision of a parent once, when its last child has it in force, so each
+version costs one small message per link, whatever the fan-out.
 """
 
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 class Progress:
     """The lowest revision in force among `daemons` daemons.
 
-    :param hosts_sum: sum of the weights of their hosts' names.
+    :param hosts_sum: checksum over the names of their hosts.
     """
 
     lowest_revision: int
@@ -56,10 +56,10 @@
 ) -> bool:
     """Whether `revision` is known to be in force on all `live_hosts`.
 
-    A daemon that moves between two parents is told of by neither, or for
-    a moment by both; a count alone would let the one that is told of twice
-    stand for another that has not been heard of.  With the sum over hosts
-    the answer is then "not known", never a yes that was not told.
+    While a daemon moves between two parents, neither or both may include
+    it.  If only daemons were counted, one included twice could make up for
+    one that is missing; the checksum over hosts makes the result False in
+    that case.
     """
     if progress.lowest_revision < revision:
         return False
--- a/src/peridotpost/decisions/rollout.py
+++ b/src/peridotpost/decisions/rollout.py
@@ -1,13 +1,13 @@
-"""Whether a version is in force on a whole fleet, from its relays' words.
+"""Whether a version is in force on the whole fleet, from its relays' reports.
 
-Load pattern: 10,000 versions a day, each of which somebody follows until
-it is in force on 5,200 daemons.  Asking every daemon is 5,200 requests a
-look; the relays' words make it two for each availability zone.
+10,000 versions are accepted on a day, and each is polled until it is in
+force on 5,200 daemons.  Polling every daemon would take 5,200 requests each
+time; the relays' reports reduce that to two per availability zone.
 
-A daemon reports to one parent, and a zone's other relays to its first, so
-the relay that speaks for the most daemons speaks for the zone.  Where a
-daemon is moving between parents, or the first relay does not answer, the
-count falls short and the word is "not known yet".
+A daemon reports to one parent, and the other relays of a zone report to its
+first relay, so the relay whose report covers the most daemons speaks for
+the zone.  While a daemon moves between parents, or the first relay does not
+answer, the report is incomplete and the result is "not known yet".
 """
 
 from collections.abc import Iterable
@@ -16,9 +16,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayWord:
-    """What one relay says of itself and those below it.
+    """The report of one relay about itself and the daemons below it.
 
-    :param covers_zone: they are just the live daemons of its zone, see
+    :param covers_zone: these are exactly the live daemons of its zone, see
         ``decisions.progress``.
     """
 
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZoneRollout:
-    """The words of a zone's relays together.
+    """The combined reports of a zone's relays.
 
-    :param live: daemons of the zone that are live.
-    :param told: daemons for which one relay spoke.
-    :param covered: they are all of them, and no other.
+    :param live: number of live daemons in the zone.
+    :param told: number of daemons that the report covers.
+    :param covered: the report covers exactly the live daemons of the zone.
     """
 
     availability_zone: str
@@ -51,7 +51,7 @@
 def of_zone(
     availability_zone: str, live: int, reports: Iterable[RelayWord]
 ) -> ZoneRollout:
-    """Take the widest word on one availability zone."""
+    """Return the most complete report about one availability zone."""
     mine = [w for w in reports if w.availability_zone == availability_zone]
     widest = max(
         mine,
--- a/src/peridotpost/decisions/seeds.py
+++ b/src/peridotpost/decisions/seeds.py
@@ -1,22 +1,22 @@
-"""Who keeps the bootstrap records, and how fast a herd reads them.
-
-Load pattern: the whole fleet of 5,200 daemons dies and comes back at once,
-or waits together for a store that was out.  Each start reads the store
-twice, the version in force and the bootstrap records.  Without spread the
-store, good for 2,000 reads and some hundred writes a second, gets 10,400
-reads in the first second, refuses most, and gets them again with each wave
-of retries; and since a daemon that knows nobody holds itself for the one
-that is due a record, it gets 5,200 leases besides.
-
-Each start waits first: full jitter over ``START_SPREAD_S`` makes 1,300
-reads a second of the herd.  A failed attempt costs one read instead of two
-and the next one draws from twice that spread, then from four times it, so
-that the rate falls while the store is out.  A lone restart pays for it with
-half the spread on average, during which its target is announced already
-but no call is sent there.
-
-A daemon that knows nobody takes the records in the store for the fleet and
-writes one only while its zone has fewer than eight.
+"""Which daemons keep bootstrap records, and how fast starting ones read them.
+
+The whole fleet of 5,200 daemons may restart at once, or wait together for a
+store that was down.  Each start reads the store twice: the version in force
+and the bootstrap records.  Without spreading, the store, which handles
+2,000 reads and some hundred writes a second, would get 10,400 reads in the
+first second, refuse most of them and get them again with each wave of
+retries.  In addition it would get 5,200 leases, since a daemon that knows
+no others would consider itself responsible for a record.
+
+So each start waits first: full jitter over ``START_SPREAD_S`` reduces the
+reads of the whole fleet to 1,300 a second.  A failed attempt costs one read
+instead of two, and the next is drawn from twice that spread, then from four
+times, so that the rate falls while the store is down.  A single restart
+pays for this with half the spread on average; in that time its target is
+announced already but receives no calls.
+
+A daemon that knows no others takes the records in the store for the fleet,
+and writes one only while its zone has fewer than ``SEEDS_PER_ZONE``.
 """
 
 from collections.abc import Collection
@@ -28,20 +28,21 @@
 SEEDS_PER_ZONE = 8
 INITIAL_READS = 6
 RENEWALS_PER_READ = 6
-"""Renewals between two readings of all records by a daemon that keeps one.
-The 88 records of 11 zones are 25 KB; read with each renewal, every 5 s,
-they alone took 5 of a daemon's 7 KB/s.  Read every 30 s they take 0.8, and
-groups that started apart find each other within the first 30 s or the
-next 30.  A daemon that knows nobody looks each time."""
+"""Renewals between two reads of all records by a daemon that keeps one.
+
+The 88 records of 11 zones are 25 KB.  Read with each renewal, every 5 s,
+they would take 5 of a daemon's 7 KB/s; read every 30 s they take 0.8, and
+groups that started apart find each other within the first or the next 30 s.
+A daemon that knows no others reads them each time."""
 LEASE_PERIODS = 3
-"""A lease outlives two lost renewals."""
+"""A lease outlasts two lost renewals."""
 START_SPREAD_S = 8.0
 MAX_SPREAD_FACTOR = 4
 
 
 @dataclasses.dataclass(slots=True)
 class StartPacing:
-    """When a daemon that starts may read the store; full jitter."""
+    """When a starting daemon may read the store; full jitter."""
 
     randomness: random.Random
     spread_s: float = START_SPREAD_S
@@ -59,9 +60,9 @@
 
 
 def looks_for_others(renewals: int) -> bool:
-    """Whether a daemon that keeps a record reads all records now.
+    """Whether a daemon that keeps a record should read all records now.
 
-    :param renewals: how often it has renewed or written its own so far.
+    :param renewals: how often it has renewed or written its own record.
     """
     return renewals < INITIAL_READS or renewals % RENEWALS_PER_READ == 0
 
@@ -69,9 +70,9 @@
 def is_due(
     host: str, zone: str, known: Collection[str], stored: Collection[str]
 ) -> bool:
-    """Say whether `host` is due a bootstrap record.
+    """Whether `host` should keep a bootstrap record.
 
-    :param known: live hosts of the zone as far as `host` knows.
+    :param known: live hosts of the zone that `host` knows.
     :param stored: hosts that have a record in the store.
     """
     if not set(known) - {host}:
--- a/src/peridotpost/decisions/suspicion.py
+++ b/src/peridotpost/decisions/suspicion.py
@@ -1,27 +1,26 @@
-"""Who is probed, and when silence becomes suspicion and then death.
-
-Load pattern: one daemon in a zone of hundreds dies or hangs, a rack of
-them goes at once, datagrams are lost, or the observer itself was paused or
-cut off.  Heartbeats to a relay would cost the relay hundreds of messages a
-second; without suspicion one lost datagram would take a live target out of
-every table; without doubt of itself, an observer that is cut off would
-declare its whole zone dead.
-
-SWIM's rules: each period one member is probed, in a shuffled round, so
-that each is probed within one round; after silence three others probe it;
-after that it is suspected.  Added to them:
-
-- Whoever found a suspect silent probes it again each period, each time by
-  three other members, and tells it of the suspicion.  Each further silence
-  is a confirmation and shortens the suspicion, to half after three (the
-  logarithmic rule of Lifeguard).  Others only wait, twice as long: they
-  act where the finder died as well.
-- Nobody is declared dead without a last probe: at a loss of 5% of
-  datagrams one probe by four ways fails six times in ten thousand, which
-  is a suspicion about every three seconds in a zone of 473.
-- Silence says something only while helpers are heard.  An observer whose
-  helpers are silent too suspects itself, and nobody's suspicion runs out.
-- An observer that was paused distrusts its timers and starts anew.
+"""Which members are probed, and when silence leads to suspicion and death.
+
+Faults to handle: one daemon in a zone of hundreds dies or hangs, a rack of
+them fails at once, datagrams are lost, or the observer itself was paused or
+cut off.  Heartbeats to a relay would cost it hundreds of messages a second.
+Without suspicion one lost datagram would remove a live target from every
+table, and an observer that is cut off would declare its whole zone dead.
+
+The rules are those of SWIM: each period one member is probed, in shuffled
+rounds, so that each is probed once a round; if it is silent, three others
+probe it; after that it is suspected.  Additions:
+
+- An observer that found a suspect silent probes it again each period, each
+  time through three other members, and the probe carries the suspicion.
+  Each further silence is a confirmation and shortens the suspicion, to half
+  after three (the logarithmic rule of Lifeguard).  Other observers only
+  wait, twice as long, in case the one that found the silence dies as well.
+- No member is declared dead without a final probe: at 5% packet loss one
+  probe over four paths fails six times in ten thousand, which causes a
+  suspicion about every three seconds in a zone of 473.
+- Silence counts only while helpers are heard.  An observer whose helpers
+  are silent too suspects itself, and restarts all its suspicions.
+- An observer that was paused does not trust its timers and starts over.
 """
 
 from collections.abc import Collection
@@ -33,19 +32,19 @@
 
 INDIRECT_PROBES = 3
 PAUSE_FACTOR = 3.0
-"""A gap between two ticks of over three periods is the observer's pause:
-scheduling delays on a loaded host stay well under one period."""
+"""A gap between two ticks of more than three periods means that the observer
+was paused: scheduling delays on a loaded host stay well under one period."""
 MAX_CONFIRMATIONS = 3
 MIN_SUSPICION_SHARE = 0.5
 INDIRECT_SUSPICION_FACTOR = 2.0
 MAX_REPROBES = 4
-"""Own suspects probed again in a period; the loss of a rack of 40 gives
-most observers of a zone of 473 none or one."""
+"""Own suspects probed again in a period; after the loss of a rack of 40 most
+observers in a zone of 473 have none or one."""
 MAX_FINAL_PROBES = 8
-"""Last probes in a period: a death takes at most four datagrams more."""
+"""Final probes in a period; each takes at most four more datagrams."""
 SMALL_ZONE_MEMBERS = 3
-"""A zone with fewer live members is probed from other zones as well: two
-of three may be gone, and the last one has nobody to miss it."""
+"""A zone with fewer live members is probed from other zones as well: the
+last live member of a zone has no other there that could find it silent."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -71,9 +70,10 @@
     def helpers(
         self, subject: str, near: Collection[str], far: Collection[str] = ()
     ) -> list[str]:
-        """Return hosts that are asked to probe `subject` as well.
+        """Return the hosts to ask to probe `subject` as well.
 
-        :param far: hosts of other zones, asked where `near` is too few.
+        :param near: hosts of the own zone.
+        :param far: hosts of other zones, used if `near` has too few.
         """
         chosen = self._sample(set(near) - {subject}, INDIRECT_PROBES)
         lacking = INDIRECT_PROBES - len(chosen)
@@ -88,7 +88,7 @@
 def hosts_to_probe(
     zone: str, records: Collection[members.MemberRecord]
 ) -> list[str]:
-    """Return the hosts that a daemon in `zone` is to probe."""
+    """Return the hosts that a daemon in `zone` should probe."""
     counts: dict[str, int] = {}
     for one in records:
         counts[one.availability_zone] = (
@@ -104,9 +104,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """A running suspicion.
+    """A suspicion that has not ended yet.
 
-    :param silences: periods in which this observer itself got no answer.
+    :param silent_periods: periods in which this observer got no answer.
     """
 
     incarnation: int
@@ -114,7 +114,7 @@
     silent_periods: int = 0
 
     def lasts_s(self, suspicion_s: float) -> float:
-        """Return the seconds it has to stand before a death."""
+        """Return the seconds after which the member may be declared dead."""
         if not self.silent_periods:
             return INDIRECT_SUSPICION_FACTOR * suspicion_s
         confirmed = min(self.silent_periods - 1, MAX_CONFIRMATIONS)
@@ -124,13 +124,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicions:
-    """Running suspicions by host."""
+    """The suspicions of one observer, by host."""
 
     suspicion_s: float
     running: dict[str, Suspicion] = dataclasses.field(default_factory=dict)
 
     def observe(self, record: members.MemberRecord, now: float) -> None:
-        """Follow a record's status, whoever wrote it."""
+        """Start or end a suspicion as the status of `record` says."""
         if record.status is not members.Status.SUSPECT:
             self.running.pop(record.host, None)
             return
@@ -139,7 +139,7 @@
             self.running[record.host] = Suspicion(record.incarnation, now)
 
     def record_silence(self, record: members.MemberRecord, now: float) -> None:
-        """Note that the own probe and its helpers' got no answer."""
+        """Record that this observer and its helpers got no answer."""
         held = self.running.get(record.host)
         if held is None or held.incarnation != record.incarnation:
             held = Suspicion(record.incarnation, now)
@@ -147,14 +147,14 @@
         held.silent_periods += 1
 
     def record_answer(self, host: str, now: float) -> None:
-        """Begin anew: the suspect answers, it only has to refute yet."""
+        """Restart the suspicion: the host answers but has not refuted yet."""
         held = self.running.get(host)
         if held is not None:
             held.since = now
             held.silent_periods = 0
 
     def restart(self, now: float) -> None:
-        """Give all suspects their full time again."""
+        """Restart the time of all suspicions."""
         for held in self.running.values():
             held.since = now
 
@@ -165,18 +165,18 @@
         return now - held.since >= held.lasts_s(self.suspicion_s)
 
     def expired(self, now: float) -> list[str]:
-        """Return the hosts whose suspicion has stood, oldest first."""
+        """Return the hosts whose suspicion has expired, oldest first."""
         due = [host for host in self.running if self.due(host, now)]
         return sorted(due, key=lambda host: self.running[host].since)
 
     def own(self) -> list[str]:
-        """Return the suspects that this observer found silent."""
+        """Return the suspects that this observer itself found silent."""
         return [h for h, held in self.running.items() if held.silent_periods]
 
 
 @dataclasses.dataclass(slots=True)
 class PauseDetector:
-    """Notices that this process was paused, by gaps between ticks."""
+    """Detects pauses of this process by gaps between its ticks."""
 
     period_s: float
     last_tick: float
@@ -188,24 +188,24 @@
         return gap > self.factor * self.period_s
 
     def reset(self, now: float) -> None:
-        """Begin the gap at the end of a tick that takes long itself."""
+        """Restart the gap, at the end of a tick that takes long itself."""
         self.last_tick = now
 
 
 def wait_overran(expected_s: float, took_s: float, period_s: float) -> bool:
-    """Say whether a wait took so long that this process was paused in it.
+    """Whether a wait took so long that this process must have been paused.
 
-    On waking, the expired wait is seen before the answers that came
-    meanwhile, so that a probe in flight would look unanswered.
+    After a pause the expired timeout is handled before the answers that
+    arrived meanwhile, so that a pending probe would look unanswered.
     """
     return took_s > expected_s + period_s / 2
 
 
 def suspected(record: members.MemberRecord) -> members.MemberRecord:
-    """Return `record` as suspected at the incarnation that was seen."""
+    """Return `record` as suspected in the same incarnation."""
     return dataclasses.replace(record, status=members.Status.SUSPECT)
 
 
 def dead(record: members.MemberRecord) -> members.MemberRecord:
-    """Return `record` as dead at the incarnation that was seen."""
+    """Return `record` as dead in the same incarnation."""
     return dataclasses.replace(record, status=members.Status.DEAD)
--- a/src/peridotpost/decisions/tables.py
+++ b/src/peridotpost/decisions/tables.py
@@ -1,12 +1,12 @@
-"""Keeps the routing table in step with the version and the fleet.
+"""Keeps the routing table up to date with the version and the fleet.
 
-Load pattern: each start, stop, suspicion or drain among 5,200 daemons
-changes the table, and calls need it on the same loop.  Compiled whole for
-each change, it held up the next call by 17 to 35 ms (``bench.capacity``);
-here only the routes of services that the changed member hosts are made
-anew, and the others are taken over as they are.
+Each start, stop, suspicion or drain among 5,200 daemons changes the table,
+and calls need it on the same event loop.  Compiling it in full on each
+change would delay the next call by 17 to 35 ms (``bench.capacity``), so
+only the routes of services hosted by the changed member are compiled anew
+and the others are reused.
 
-The table that is handed out is never changed: a new one takes its place.
+A table that was handed out is never modified; a new one replaces it.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 
 class TableCompiler:
-    """Compiles what became stale when the table is next asked for."""
+    """Compiles stale routes when the table is next requested."""
 
     def __init__(self) -> None:
         self.hosting: dict[str, dict[str, members.MemberRecord]] = {}
@@ -30,7 +30,7 @@
         before: members.MemberRecord | None,
         record: members.MemberRecord,
     ) -> None:
-        """Take `record` in the place of `before`, its predecessor."""
+        """Replace `before`, the former record of a member, by `record`."""
         for service in _services(before):
             self.hosting[service].pop(record.host, None)
             self.stale.add(service)
@@ -39,9 +39,9 @@
             self.stale.add(service)
 
     def current(self, version: config.ConfigVersion) -> routing.RoutingTable:
-        """Return the table of `version` over the members as they are.
+        """Return the table of `version` over the current members.
 
-        :raises routing.DanglingRoute: it breaks its own invariant.
+        :raises routing.DanglingRoute: the table breaks its own invariant.
         """
         if version is not self.version or self.stale:
             routes = {
@@ -64,7 +64,7 @@
 
 
 def _services(record: members.MemberRecord | None) -> Iterable[str]:
-    """Return the services that a member hosts as long as it is live."""
+    """Return the services that a member hosts; none unless it is live."""
     if record is None or not record.live:
         return ()
     return {target.service for target in record.targets}
--- a/src/peridotpost/decisions/tree.py
+++ b/src/peridotpost/decisions/tree.py
@@ -1,18 +1,18 @@
-"""Who relays configuration, and from whom each daemon receives it.
+"""The distribution tree: relays, and each daemon's parents.
 
-Load pattern: every accepted version and every change of a member goes to
-all daemons, and whole herds of them join or vanish at once.  Without a
-computed tree every daemon would watch the store, whose two thousand reads
-a second grow more slowly than the fleet.
+Every accepted version and every change of a member goes to all daemons, and
+large groups of them join or vanish at once.  Without a computed tree every
+daemon would watch the store, whose capacity of two thousand reads a second
+grows more slowly than the fleet.
 
-Nothing is elected.  Each daemon works the tree out from the members it
-knows; two that disagree for a moment do no harm, since versions only rise
-and a fact that arrives twice is ignored.
+There is no election.  Each daemon computes the tree from the members it
+knows.  Two daemons that disagree for a moment do no harm, since revisions
+only rise and a record that arrives twice is ignored.
 
-Grounds for the figures: two relays for each availability zone keep a
-watch when one dies, and 22 waiting watches at 11 zones are 1% of the
-store's reads.  A fan-out of 16 reaches 473 daemons of a zone in two steps
-below the relays, with 15 or so streams at each parent.
+With two relays per availability zone a watch remains when one dies; 22
+watches for 11 zones are 1% of the store's reads.  A fan-out of 16 reaches
+the 473 daemons of a zone in two steps below the relays, with about 15
+streams at each parent.
 """
 
 from collections.abc import Container
@@ -26,17 +26,18 @@
 RELAYS_PER_ZONE = 2
 FAN_OUT = 16
 MAX_CHILDREN = 2 * FAN_OUT
-"""A parent refuses more: rendezvous hashing spreads children with a
-standard deviation of about 4 around 16, so 32 is out of reach until the
-views of a herd differ."""
+"""A parent refuses more.  Rendezvous hashing spreads children with a standard
+deviation of about 4 around 16, so 32 is not reached unless many daemons
+compute the tree from different members."""
 WEIGHT_CACHE_SIZE = 16_384
-"""A plan weighs each of 5,200 members for its own zone, and a zone's
-parents for each child; worked out anew, that was half of a relay's plan."""
+"""A plan needs the weight of each of 5,200 members for its own zone, and of a
+zone's parents for each child; without a cache that takes half of the time
+of a relay's plan."""
 
 
 @functools.lru_cache(maxsize=WEIGHT_CACHE_SIZE)
 def weight(*parts: str) -> int:
-    """Return a number that is the same on every host for `parts`."""
+    """Return a hash of `parts`, the same on every host."""
     joined = '\0'.join(parts).encode()
     return int.from_bytes(hashlib.blake2b(joined, digest_size=8).digest())
 
@@ -48,11 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """A daemon's place in the tree of its availability zone.
+    """A daemon's position in the tree of its availability zone.
 
+    :param has_children: it must hold the whole configuration.
     :param parents: hosts to receive from, the preferred one first; empty
         for a relay, which watches the store.
-    :param parent_of_others: it must hold the whole configuration.
     """
 
     relay: bool
@@ -61,7 +62,7 @@
 
 
 def place_of(host: str, zone: str, zone_hosts: Iterable[str]) -> Place:
-    """Work out the place of `host` among the live `zone_hosts`."""
+    """Compute the position of `host` among the live `zone_hosts`."""
     order = ranked(zone, {*zone_hosts, host})
     relays = order[:RELAYS_PER_ZONE]
     if host in relays:
@@ -78,16 +79,16 @@
 def suspects_last(
     parents: Sequence[str], suspected: Container[str]
 ) -> tuple[str, ...]:
-    """Return `parents` with those under suspicion at the end.
+    """Return `parents` with the suspected ones at the end.
 
-    A frozen parent is suspected seconds before it is declared dead; its
-    children would hear of no version in that time.
+    A frozen parent is suspected seconds before it is declared dead, and in
+    that time its children would receive no versions.
     """
     return tuple(sorted(parents, key=lambda host: host in suspected))
 
 
 def _intermediate_count(below: int) -> int:
-    """Return how many parents stand between relays and `below` daemons."""
+    """Return how many of `below` daemons are intermediate parents."""
     if below <= RELAYS_PER_ZONE * FAN_OUT:
         return 0
     return math.ceil(below / (FAN_OUT + 1))
@@ -100,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZoneRelays:
-    """The relays that a daemon knows of one availability zone."""
+    """The relays of one availability zone that a daemon knows."""
 
     zone: str
     relays: tuple[str, ...]
@@ -112,13 +113,13 @@
     zone_hosts: Iterable[str],
     others: Sequence[ZoneRelays],
 ) -> list[str]:
-    """Return the relays of other zones that the relay `host` calls up.
+    """Return the relays of other zones that the relay `host` dials.
 
-    Of two zones the one whose name sorts first calls; either direction
-    carries all.  The first relay calls the first, the second the second,
-    and one that stands alone calls both: were each to choose for itself,
-    both could choose one relay, and its death or freeze would cut the two
-    zones off from each other.
+    Of two zones the one whose name sorts first dials; a stream carries
+    updates in both directions.  The first relay dials the first of the
+    other zone, the second dials the second, and a single relay dials both.
+    If each relay chose for itself, both could choose the same one, and its
+    death or freeze would cut the two zones off from each other.
     """
     mine = relays_of(zone, {*zone_hosts, host})
     own_index = mine.index(host) if host in mine else 0
@@ -133,7 +134,7 @@
 def _peers_for(
     relays: Sequence[str], own_index: int, callers: int
 ) -> tuple[str, ...]:
-    """Return those of `relays` that fall to the caller number `turn`."""
+    """Return those of `relays` that the relay at `own_index` dials."""
     if own_index >= len(relays):
         return (relays[own_index % len(relays)],)
     return tuple(relays[own_index::callers])
--- a/src/peridotpost/decisions/versions.py
+++ b/src/peridotpost/decisions/versions.py
@@ -1,11 +1,11 @@
-"""What a daemon does with a configuration that reaches it.
-
-Load pattern: updates arrive late, twice, crossed, damaged, as changes of
-a version that the receiver does not hold, or cut for a scope that it has
-outgrown.  Without these rules a late older version would be applied over
-a newer one, a change over the wrong base, or a part of a version would
-pass for the whole, and calls would be routed by a mix that nobody
-accepted.
+"""How a daemon applies configuration updates that it receives.
+
+Updates may arrive late, twice, out of order or damaged, as a change of a
+version that the receiver does not hold, or cut for a scope that has since
+grown.  Without these rules an older version could overwrite a newer one, a
+change could be applied to the wrong base, or a part of a version could be
+taken for the whole, and calls would be routed by a mixture of versions that
+was never accepted.
 """
 
 from collections.abc import Mapping
@@ -16,20 +16,21 @@
 from peridotpost.model import config
 
 FIRST_READ_PEERS = 3
-"""Peers that a fresh daemon compares when the store does not tell it the
-newest version.  Each is behind the fleet only for the second or so that a
-version takes to spread, or while it is cut off itself; three at random
-are all so at once only in a cut that holds most of the zone."""
+"""Peers whose versions a starting daemon compares if it cannot read the newest
+version from the store.  A peer is behind the fleet only for the second or so
+that a version takes to spread, or while it is cut off; three random peers
+are all behind only if most of the zone is cut off."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigUpdate:
-    """A version on its way to one receiver's scope.
+    """A version, or a change to one, cut to a receiver's scope.
 
-    :param base_revision: the revision that `changed` and `removed` are a
-        change of; 0 when `changed` is the whole scope.
-    :param digest: :func:`seal` of what the receiver holds after it.
-    :param scope: what the version was cut for.
+    :param base_revision: the revision to which `changed` and `removed`
+        apply; 0 when `changed` is the whole scope.
+    :param digest: :func:`scope_digest` of the receiver's version after the
+        update.
+    :param scope: the scope that the version was cut for.
     """
 
     revision: int
@@ -47,19 +48,20 @@
 
 
 class Verdict(enum.Enum):
-    """What became of an update."""
+    """The outcome of applying an update."""
 
     APPLIED = 'applied'
     STALE = 'stale'
     NEED_WHOLE = 'need-whole'
     DAMAGED = 'damaged'
-    """A whole that does not match its own seal; asking for it again would
-    bring the same, as from a peer whose release writes bodies otherwise."""
+    """A whole version that does not match its own digest.  Requesting it again
+    would give the same result, for example from a peer whose release
+    serializes bodies differently."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Holding:
-    """A version, cut to a scope; complete in that scope."""
+    """A version cut to a scope, and complete within it."""
 
     version: config.ConfigVersion
     scope: config.Interest
@@ -71,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpdateResult:
-    """The verdict and what the daemon holds afterwards."""
+    """The outcome, and the version that the daemon holds afterwards."""
 
     verdict: Verdict
     holding: Holding
@@ -81,7 +83,7 @@
 
 
 def covers(mine: config.Interest, other: config.Interest) -> bool:
-    """Whether a holder of the scope `mine` holds all that `other` needs."""
+    """Whether the scope `mine` includes everything in `other`."""
     if mine.everything:
         return True
     if other.everything or (other.ingress and not mine.ingress):
@@ -90,10 +92,10 @@
 
 
 def seal(version: config.ConfigVersion, scope: config.Interest) -> bytes:
-    """Return the digest of `version` as cut for `scope`.
+    """Return the digest of `version` cut to `scope`.
 
-    The scope is part of it, since two scopes may hold the same services
-    of one version and differ in the next.
+    It includes the scope itself, since two scopes may contain the same
+    services in one version and differ in the next.
     """
     hosted = '\0'.join(sorted(scope.hosted))
     plain = f'{scope.everything:d}{scope.ingress:d}{hosted}'.encode()
@@ -103,10 +105,10 @@
 def judge(
     held: Holding, wanted: config.Interest, update: ConfigUpdate
 ) -> UpdateResult:
-    """Apply `update` to `held`, whole or not at all.
+    """Apply `update` to `held` completely or not at all.
 
-    :param wanted: the scope that the daemon needs now, which `held` may
-        not cover yet.
+    :param wanted: the scope that the daemon needs now; `held` may not
+        cover it yet.
     """
     keep = held.version.revision
     if update.revision < keep:
@@ -117,22 +119,22 @@
         if not (grows and update.whole):
             return UpdateResult(Verdict.STALE, held)
     elif not satisfies and not covers(update.scope, held.scope):
-        # Cut for a scope from before this daemon's grew: applying it
-        # would take away services that it holds and routes to.
+        # Cut for the daemon's scope before it grew: applying the update
+        # would remove services that it already routes to.
         return UpdateResult(Verdict.NEED_WHOLE, held)
     if not update.whole and update.base_revision != keep:
         return UpdateResult(Verdict.NEED_WHOLE, held)
     candidate = Holding(_apply(held.version, update), update.scope)
     if candidate.digest != update.digest:
-        # A damaged or misbased update: applying it would leave a version
-        # in part, so the daemon keeps what it has.
+        # Damaged, or based on another version: applying the update would
+        # give an incomplete version, so the daemon keeps its current one.
         verdict = Verdict.DAMAGED if update.whole else Verdict.NEED_WHOLE
         return UpdateResult(verdict, held)
     return UpdateResult(Verdict.APPLIED, narrowed(candidate, wanted))
 
 
 def narrowed(holding: Holding, wanted: config.Interest) -> Holding:
-    """Cut `holding` to `wanted` where it holds all of that."""
+    """Cut `holding` to `wanted` if it covers that scope."""
     if holding.scope == wanted or not covers(holding.scope, wanted):
         return holding
     return Holding(holding.version.scoped(wanted), wanted)
@@ -154,10 +156,10 @@
 
 
 def difference(base: config.ConfigVersion, target: Holding) -> ConfigUpdate:
-    """Return the update that leads from `base` to `target`.
+    """Return the update from `base` to `target`.
 
-    Both are cut to the receiver's scope; a base without a revision gives
-    the whole.
+    Both are cut to the receiver's scope; for a base with revision 0 the
+    update is whole.
     """
     version = target.version
     changed = {
@@ -180,14 +182,16 @@
 def heard_enough(
     store_read: bool, holding: int, asked: int, known: int
 ) -> bool:
-    """Whether a fresh daemon may serve with the highest that it heard of.
+    """Whether a starting daemon may serve the highest version it knows.
 
-    Without this rule a daemon that returns while the store is out would
-    serve the version of the one peer that happened to answer, or nothing
-    at all, as when a herd returns and its members ask each other.
+    Without this rule a daemon that restarts while the store is down could
+    serve the version of the single peer that answered, or an empty one, as
+    when many daemons restart together and ask each other.
 
-    :param holding: peers that answered and hold a version themselves, out
-        of `asked` of `known` ones.
+    :param store_read: the store was read.
+    :param holding: number of peers that answered and hold a version.
+    :param asked: number of peers asked.
+    :param known: number of peers known.
     """
     if store_read or holding >= FIRST_READ_PEERS:
         return True
--- a/src/peridotpost/membership/__init__.py
+++ b/src/peridotpost/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is alive, in which availability zone, with which targets."""
+"""Membership: live daemons, their availability zones and targets."""
--- a/src/peridotpost/membership/myself.py
+++ b/src/peridotpost/membership/myself.py
@@ -1,4 +1,4 @@
-"""This daemon's own record, which it alone writes."""
+"""This daemon's own member record, which only it may change."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class Stage(enum.Enum):
-    """How far this process is in its life."""
+    """The lifecycle stage of this process."""
 
     STARTING = 'starting'
     READY = 'ready'
@@ -16,7 +16,7 @@
 
 
 class Myself:
-    """Holds the own record; fires `changed` with each new one."""
+    """Holds the own record; fires `changed` on every change."""
 
     def __init__(self, record: members.MemberRecord) -> None:
         self.record = record
@@ -26,7 +26,7 @@
         )
 
     def set_ports(self, call_port: int, admin_port: int) -> None:
-        """Complete the record once every port is open."""
+        """Add the ports to the record once all are open."""
         self.record = dataclasses.replace(
             self.record, call_port=call_port, admin_port=admin_port
         )
@@ -37,15 +37,15 @@
         self._publish(targets=targets)
 
     def leave(self) -> None:
-        """Say that this daemon goes: its targets get no new work."""
+        """Announce that this daemon leaves; its targets get no new work."""
         self.stage = Stage.LEAVING
         self._publish(status=members.Status.LEFT, targets=())
 
     def refute(self, heard: members.MemberRecord) -> None:
-        """Answer a record of this daemon that it did not write.
+        """Override a record of this daemon that it did not write itself.
 
-        A suspicion, or a record that an earlier process of the host left
-        behind, stands above ours until our incarnation passes it.
+        A suspicion, or a record left by an earlier process of this host,
+        takes precedence over ours until our incarnation exceeds it.
         """
         if heard.mark <= self.record.mark:
             return
--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -1,4 +1,4 @@
-"""Pings over UDP: who is asked, who may answer, what an answer brings."""
+"""Probes over UDP: sending, relaying and answering them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,20 +21,20 @@
 ACK = 2
 PING_REQUEST = 3
 RECEIVED = 4
-"""A helper's word that it was asked, whatever the subject does: it shows
-that the prober itself is heard."""
+"""A helper's confirmation that it was asked, independent of the subject's
+answer: it shows that the prober's own datagrams arrive."""
 NONCE_BITS = 64
 TIMEOUTS_PER_PROBE = 3
-"""Timeouts in a probe: one of the subject, two of its helpers, whose own
-probe takes one."""
+"""One for the direct probe and two for the helpers, whose own probe takes
+one."""
 MAX_RELAYED_PROBES = 64
-"""Probes run for others at once; more are refused, so that a flood of
-requests costs no more than so many datagrams each timeout."""
+"""Concurrent probes on behalf of others.  More are refused, which bounds the
+datagrams sent per timeout during a flood of requests."""
 Address = tuple[str, int]
 
 
 class Records(Protocol):
-    """What pings need of the replica."""
+    """The part of the replica that probes need."""
 
     def record_of(self, host: str) -> members.MemberRecord | None: ...
 
@@ -43,7 +43,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Expected:
-    """An answer that is waited for, and who alone may give it."""
+    """A probe waiting for its answer.
+
+    :param hosts_by_address: the only senders whose answers are accepted.
+    :param heard: hosts that answered or confirmed the request.
+    """
 
     subject: str
     hosts_by_address: dict[Address, str]
@@ -51,13 +55,13 @@
     heard: set[str] = dataclasses.field(default_factory=set)
 
     def accepts(self, probe: control_pb2.Probe, address: Address) -> bool:
-        """Whether an answer comes from whom it should, about whom."""
+        """Whether an answer has the expected sender and subject."""
         source = self.hosts_by_address.get(address)
         return source == probe.source and probe.subject == self.subject
 
 
 class ProbeEndpoint:
-    """Sends and answers datagrams; judges nobody."""
+    """Sends and answers probes; draws no conclusions from them."""
 
     encode: Callable[[members.MemberRecord], control_pb2.Member]
     decode: Callable[[control_pb2.Member], members.MemberRecord]
@@ -80,11 +84,11 @@
         self.relayed: set[asyncio.Task[None]] = set()
 
     async def ping(self, record: members.MemberRecord) -> bool:
-        """Whether a member answers now."""
+        """Whether a member answers a probe now."""
         facts = []
         if record.status is members.Status.SUSPECT:
-            # The suspect hears of the suspicion with the probe itself, so
-            # that it can refute it even if its stream is what broke.
+            # The probe itself carries the suspicion, so that the suspect
+            # can refute it even if its streams are broken.
             facts = [record]
         with self._pending(record.host, [record]) as (nonce, expected):
             self._send(PING, nonce, record.host, record, facts)
@@ -93,7 +97,11 @@
     async def ping_via(
         self, record: members.MemberRecord, helpers: list[str]
     ) -> tuple[bool, int]:
-        """Ask `helpers`; return whether one got an answer, how many heard."""
+        """Probe through `helpers`.
+
+        Returns whether one of them got an answer, and how many confirmed
+        the request.
+        """
         found = [self.fleet.record_of(host) for host in helpers]
         asked = [one for one in found if one is not None]
         with self._pending(record.host, asked) as (nonce, expected):
@@ -108,8 +116,8 @@
     def _pending(
         self, subject: str, answerers: list[members.MemberRecord]
     ) -> Iterator[tuple[int, Expected]]:
-        # Numbers that can be guessed would let a stray or late datagram
-        # vouch for a dead member.
+        # With a guessable nonce a stray or late datagram could count as the
+        # answer of a dead member.
         nonce = self.randomness.getrandbits(NONCE_BITS)
         answered = asyncio.get_running_loop().create_future()
         expected = Expected(
@@ -166,7 +174,7 @@
         self.transport.sendto(data, address)
 
     def received(self, data: bytes, address: Address) -> None:
-        """Answer or take in one datagram; what is unusable is counted."""
+        """Process one datagram; unusable ones are counted and dropped."""
         self.counts.add('probe.received-bytes', len(data))
         self.counts.add('probe.received-messages')
         probe = control_pb2.Probe()
@@ -192,8 +200,8 @@
         address: Address,
     ) -> None:
         if probe.subject != self.host:
-            # A new daemon on the address of a dead one must not vouch for
-            # it, nor pass on what was meant for it.
+            # A new daemon on the address of a dead one must not answer for
+            # it, nor process the records that were meant for it.
             self.counts.add('probe.misdirected')
             return
         self._offer(facts)
--- a/src/peridotpost/membership/probing.py
+++ b/src/peridotpost/membership/probing.py
@@ -1,4 +1,4 @@
-"""Whom to probe, and what follows, by the rules of ``decisions.observer``."""
+"""Runs the probes of each period and applies ``decisions.observer``."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Members(Protocol):
-    """What probing needs of the replica."""
+    """The part of the replica that the prober needs."""
 
     def record_of(self, host: str) -> members.MemberRecord | None: ...
 
@@ -25,7 +25,7 @@
 
 
 class Prober:
-    """Probes members each period, and answers probes."""
+    """Probes members each period and acts on the conclusions."""
 
     def __init__(
         self,
@@ -54,15 +54,15 @@
         )
 
     def observe(self, record: members.MemberRecord) -> None:
-        """Follow a member's status, whoever found it out."""
+        """Update the suspicions with a member's record from any source."""
         self.observer.suspicions.observe(record, self.clock.now())
 
     async def tick(self) -> None:
-        """Probe this period's members and draw the conclusions."""
+        """Probe the members due in this period and act on the results."""
         now = self.clock.now()
         if self.pause.paused(now):
-            # The first thing a thawed process sees is its own expired
-            # timers; acting on them would declare half the zone dead.
+            # After a pause all timers have expired; acting on them would
+            # declare half of the zone dead.
             self._handle_own_pause(now)
             return
         others = [one for one in self.fleet.live() if one.host != self.host]
@@ -126,9 +126,9 @@
         )
 
     async def answers(self, host: str) -> bool:
-        """Whether `host` answers a probe just now; judges nothing.
+        """Whether `host` answers a probe now; its status is unaffected.
 
-        A host whose record has not come yet is taken to answer.
+        A host without a record yet is assumed to answer.
         """
         record = self.fleet.record_of(host)
         return record is None or await self.pings.ping(record)
--- a/src/peridotpost/membership/seeds.py
+++ b/src/peridotpost/membership/seeds.py
@@ -1,8 +1,8 @@
-"""Bootstrap records in the store: how a fresh daemon finds the others.
+"""Bootstrap records in the store, by which a starting daemon finds others.
 
-A few daemons of each availability zone, computed like the relays, keep
-one record each under a lease.  Eight in each of 11 zones, renewed every
-5 s, are 18 writes a second, whatever the size of the fleet.
+A few daemons of each availability zone, computed like the relays, keep one
+record each under a lease.  Eight in each of 11 zones, renewed every 5 s,
+are 18 writes a second, whatever the size of the fleet.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Seed:
-    """A daemon that a fresh one can ask."""
+    """A daemon that a starting one can ask for the fleet."""
 
     host: str
     availability_zone: str
@@ -45,7 +45,7 @@
 def read_seed(
     kv: store.KeyValue,
 ) -> result.Result[Seed, errors.StoreError]:
-    """Read a bootstrap record."""
+    """Decode a bootstrap record."""
     try:
         plain = json.loads(kv.value)
         seed = Seed(
@@ -62,7 +62,7 @@
 
 
 class SeedKeeper:
-    """Reads the bootstrap records, and keeps this daemon's while due one."""
+    """Reads the bootstrap records, and keeps one for this daemon if due."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
     async def tick(
         self, record: members.MemberRecord, zone_hosts: list[str]
     ) -> bool:
-        """Renew, write or withdraw the record; say whether it is due."""
+        """Renew, write or withdraw the record; return whether it is due."""
         zone = record.availability_zone
         stored = [s.host for s in self.stored if s.availability_zone == zone]
         if not rules.is_due(record.host, zone, zone_hosts, stored):
@@ -106,7 +106,11 @@
         return True
 
     async def _renew(self) -> bool:
-        """Renew the lease; a process that was paused may find it lapsed."""
+        """Renew the lease; return False if it has lapsed.
+
+        It lapses when the process is paused.  Without an answer from the
+        store the lease is assumed to hold.
+        """
         renewed = await self.platform.keep_alive(self.lease)
         if isinstance(renewed, result.Err):
             return True
@@ -119,7 +123,7 @@
     async def _write(
         self, record: members.MemberRecord, zone_hosts: list[str]
     ) -> None:
-        """Write the record under a new lease, if it is still due one."""
+        """Write the record under a new lease, if it is still due."""
         zone = record.availability_zone
         prefix = f'{seeds_prefix(self.mesh)}{zone}/'
         found = await self.platform.read_prefix(prefix)
@@ -136,16 +140,17 @@
         await self._swap(f'{prefix}{record.host}', current, mine)
 
     def _may_replace(self, current: store.KeyValue, mine: Seed) -> bool:
-        """Say whether the standing record is one to write over.
+        """Whether the existing record may be overwritten.
 
-        A process that was paused while its host got a new one would
-        otherwise take the key from it, and the two would write in turns.
+        Otherwise a process that was paused while its host started a new one
+        would take the key from the new one, and the two would overwrite
+        each other in turn.
         """
         read = read_seed(current)
         if isinstance(read, result.Err):
             return True
         if read.ok_value == mine and current.lease:
-            # The answer to an earlier write was lost after it took effect.
+            # An earlier write took effect, but its answer was lost.
             self.lease = current.lease
             return False
         if read.ok_value.incarnation > mine.incarnation:
@@ -171,7 +176,7 @@
             self.lease = granted.ok_value
 
     async def withdraw(self) -> None:
-        """End the lease, so that the record goes at once."""
+        """End the lease, which deletes the record at once."""
         if self.lease:
             lease, self.lease = self.lease, 0
             await self.platform.revoke(lease)
--- a/src/peridotpost/membership/targets.py
+++ b/src/peridotpost/membership/targets.py
@@ -1,7 +1,7 @@
 """The targets on this host, as they announce themselves.
 
-An announcement is good for a few seconds.  A target that dies without a
-word, or hangs, shows as one that no longer repeats it.
+An announcement is valid for a few seconds.  A target that dies or hangs
+without withdrawing it is noticed when it stops repeating it.
 """
 
 import dataclasses
@@ -14,19 +14,19 @@
 from peridotpost.model import members
 
 EXPIRY_CHECKS = 4
-"""Looks for lapsed announcements in the time that one is good."""
+"""Checks for expired announcements within the lifetime of one."""
 PAUSE_FACTOR = 2.0
-"""A gap of two looks is half the time that an announcement is good; with
-the second between two announcements it stays under the whole."""
+"""A gap of two checks is half the lifetime of an announcement; together with
+the second between two announcements it stays below the whole lifetime."""
 
 
 class NameTaken(errors.PeridotError):
-    """Another target of this host announces under the same name."""
+    """Another target of this host announces the same name."""
 
 
 @dataclasses.dataclass(slots=True)
 class LocalTarget:
-    """An announced target and until when the announcement is good."""
+    """An announced target and when its announcement expires."""
 
     service: str
     name: str
@@ -36,7 +36,7 @@
     state: members.TargetState
     good_until: float
     replaced: frozenset[int] = frozenset()
-    """Ports from which the name was announced before this one."""
+    """Earlier ports under which the name was announced."""
 
     def to_record(self) -> members.TargetRecord:
         return members.TargetRecord(
@@ -57,14 +57,15 @@
         self.pause: suspicion.PauseDetector | None = None
 
     def announce(self, target: LocalTarget) -> None:
-        """Take in an announcement, new or repeated.
+        """Process an announcement, new or repeated.
 
-        A name on another port is a restart, and the later one holds it.
-        Where the former port goes on announcing, both are alive: calls
-        would change between the two with each announcement, and the drain
-        of one would stop the other.
+        The same name on another port means that the target restarted, and
+        the later port owns the name.  If the former port keeps announcing,
+        both are alive and the former is rejected: otherwise calls would
+        alternate between the two with each announcement, and draining one
+        would stop the other.
 
-        :raises NameTaken: a later target holds the name.
+        :raises NameTaken: a later target owns the name.
         """
         key = (target.service, target.name)
         old = self.found.get(key)
@@ -96,7 +97,7 @@
         self.counts.add('target.moved')
 
     def withdraw(self, service: str, name: str, why: str) -> None:
-        """Forget a target at once, as when its port refuses connections."""
+        """Remove a target at once, for example if its port is closed."""
         if self.found.pop((service, name), None) is None:
             return
         self.counts.add('target.withdrawn')
@@ -106,10 +107,10 @@
         self._publish()
 
     def expire(self, now: float) -> None:
-        """Forget targets that went silent.
+        """Remove targets whose announcements expired.
 
-        After a pause of this process all announcements look old, since
-        none could be taken in; they are good once more.
+        After a pause of this process all announcements look expired, since
+        none could be processed meanwhile, so their lifetimes start again.
         """
         if self.pause is None:
             period_s = self.ttl_s / EXPIRY_CHECKS
