--- a/src/peridotpost/decisions/following.py
+++ b/src/peridotpost/decisions/following.py
@@ -6,10 +6,10 @@
 
 A daemon with a slow link therefore leaves the watch to the daemons of its
 zone that have a fast link (the followers) and receives differences from
-them.  If no follower has announced itself for
-``FOLLOWER_TIMEOUT_S``, it reads the store itself, at most once in
-``MIN_READ_INTERVAL_S``.  So a zone without fast
-links, or whose fast links lost the store, is as current as its own reads.
+them.  If no follower has announced itself for ``FOLLOWER_TIMEOUT_S``, it
+reads the store itself, at most once in ``MIN_READ_INTERVAL_S``.  So a zone
+without fast links, or whose fast links lost the store, is as current as its
+own reads.
 
 A follower that loses the store announces this at once and is no longer
 waited for.
@@ -41,8 +41,8 @@
     :param start: when this daemon started; followers have
         `FOLLOWER_TIMEOUT_S` from then on to announce themselves.
     :param last_heard_by_host: when each follower last announced itself.
-    :param store_reachable: whether the store answers this daemon; None until the
-        first attempt.
+    :param store_reachable: whether the store answers this daemon; None
+        until the first attempt.
     :param store_back_at: when the store last became reachable again.
     :param peer_read_at: when another daemon of the zone with a slow link
         last began to read.
--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -1,4 +1,4 @@
-"""Whom a daemon asks for the fleet while the store is out."""
+"""Which peers a daemon asks for the member list without the store."""
 
 import pytest
 
@@ -37,10 +37,11 @@
 
 
 def test_an_outage_of_the_store_does_not_flood_slow_links() -> None:
-    """The store turns away a fleet of 60; all ask for the others.
+    """A fleet of 60 loses the store, and all hosts ask for the member list.
 
-    Asked on every stream, each host got the list 118 times, a second of a
-    slow link, and healthy hosts were taken for silent meanwhile.
+    If they ask on every stream, each host receives the list 118 times.
+    That occupies a slow link for a second, during which healthy hosts are
+    taken for silent.
     """
     list_bytes = 60 * 100
     hosts = neighbours(11, 48)
--- a/testing/test_decisions_rule.py
+++ b/testing/test_decisions_rule.py
@@ -1,8 +1,8 @@
-"""Decisions draw from the random source that they are given, only.
+"""Modules of ``decisions`` use only the random source passed to them.
 
-The import rule cannot see it: the modules import ``random`` for the type
-``random.Random`` alone, and a call of the global source beside it would
-make two runs of one seed differ.
+They import ``random`` for the type ``random.Random``, so an import rule
+cannot detect calls of the global source, which would make two runs with the
+same seed differ.
 """
 
 import ast
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -1,4 +1,4 @@
-"""Who reads the configuration from the store, and when."""
+"""When a daemon with a slow link reads the store itself."""
 
 from peridotpost.decisions import following
 
@@ -10,7 +10,7 @@
 
 
 def reads(one: following.Following, start: float, end: float) -> list[float]:
-    """Return when `one` reads, asked each beat from `start` to `end`."""
+    """Return when `one` reads, checked each heartbeat in the interval."""
     beats = int((end - start) / BEAT_S) + 1
     asked = [start + beat * BEAT_S for beat in range(beats)]
     return [now for now in asked if one.reads_now(now)]
@@ -26,11 +26,11 @@
 
 
 def test_after_an_outage_slow_links_wait_for_those_that_follow() -> None:
-    """The store was out for eight seconds, so nobody followed it.
+    """The store comes back after eight seconds, in which nobody followed it.
 
-    In the moment of its return all hosts with slow links read 400 KB,
-    which filled their links for a second: pings stayed unanswered, and
-    what they ran was given up.  The others are heard of within a beat.
+    If all hosts with slow links then read 400 KB at once, their links are
+    full for a second: pings go unanswered, and the work on them is given
+    up.  Followers announce themselves within one heartbeat.
     """
     one = slow()
     one.store_answers(False, 1.0)
@@ -56,19 +56,19 @@
 
 
 SILENCE_NOTICED_S = 1.5
-"""How late a daemon notices that the store has gone silent on it: 1.0 to
+"""The longest time until a daemon notices that the store is silent: 1.0 to
 1.5 s in the logs of a fleet of 61."""
 IN_FORCE_S = 2.0
-"""From the store's acknowledgement of a version until it is in force."""
+"""The limit from the store's acknowledgement until a version is in force."""
 
 
 def test_slow_links_are_current_when_the_fast_ones_lose_the_store() -> None:
     """Callers are served by a version that was replaced three seconds ago.
 
-    The store goes silent on all fast hosts of a zone and answers the slow
-    ones.  The fast ones say that they follow it until they notice; a version
-    comes in that time.  The slow ones wait for two beats more and then read,
-    though the fast ones could have told them.
+    The store goes silent for all fast hosts of a zone, but still answers
+    the slow ones.  The fast ones claim to follow it until they notice, and
+    a new version is accepted meanwhile.  If they don't announce the loss,
+    the slow ones wait for two more heartbeats before they read.
     """
     slow = following.Following(5.0, start=0.0)
     slow.store_answers(True, 0.0)
@@ -81,10 +81,11 @@
 
 
 def test_of_a_zone_of_slow_links_one_reads_at_a_time() -> None:
-    """Requests stand still in a whole fleet when a few hosts lose a watch.
+    """Requests stall in a whole fleet when a few hosts lose their watch.
 
-    All fast hosts of a zone lose the store's watch in the same moment and say
-    so.  All twenty slow ones then read 300 KB at once, 0.7 s on their links.
+    All fast hosts of a zone lose the store's watch at the same moment and
+    announce it.  If all twenty slow ones then read 300 KB at once, their
+    links are full for 0.7 s.
     """
     hosts = [slow() for _ in range(20)]
     for one in hosts:
@@ -102,7 +103,7 @@
                     other.others_read(now)
     assert len(read_at) <= 5
     pauses = [b - a for a, b in zip([10.0, *read_at], read_at, strict=False)]
-    # And none of them has to wait longer for a version than before.
+    # The reads are still frequent enough for new versions.
     assert max(pauses) <= following.PEER_READ_WAIT_S + BEAT_S / len(hosts)
 
 
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Members and targets that hang, leave, die, return and share a name."""
+"""Members and targets that hang, leave, die, restart or share a name."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def zone_text(mesh_text: str) -> str:
-    """Rautasilta's text with all hosts in one availability zone."""
+    """The configuration of Rautasilta with a single availability zone."""
     return re.sub(
         'availability_zones: .*', 'availability_zones: [hel-a]', mesh_text
     )
@@ -82,8 +82,8 @@
 def test_pause_of_the_daemon_lets_no_announcement_lapse(
     targets: local.LocalTargets,
 ) -> None:
-    # The daemon is frozen for a minute.  On thaw the first thing it saw
-    # was that no target had announced itself, and it dropped them all.
+    # The daemon is paused for a minute.  When it resumes, all announcements
+    # look expired, and it must not drop the targets.
     targets.announce(announced(1, until=4.0))
     targets.expire(0.0)
     targets.expire(60.0)
@@ -105,9 +105,9 @@
 def test_of_two_targets_with_one_name_the_later_one_holds_it(
     targets: local.LocalTargets,
 ) -> None:
-    # Two targets of a host are started with the same name by mistake.
-    # Calls went to the one and the other in turns, and the drain of one
-    # stopped work for both.
+    # Two targets of a host are started with the same name by mistake.  If
+    # both were accepted, calls would alternate between them, and draining
+    # one would stop work for both.
     targets.announce(announced(1, until=4.0))
     targets.announce(announced(2, until=5.0))
     for port, taken in ((1, False), (2, True), (1, False), (2, True)):
@@ -123,7 +123,7 @@
 
 
 def target_port(one: processes.RunningMesh, name: str) -> int:
-    """The port that a target process printed last."""
+    """Return the port that a target process printed last."""
     found: list[str] = []
 
     def printed() -> bool:
@@ -139,7 +139,7 @@
 
 
 def begun(port: int) -> int:
-    """Count the requests that a target has begun, whatever their end."""
+    """Count the requests that a target has started, with any outcome."""
     page = target_counts(port)
     ends = ('ran', 'shed', 'deadline', 'cancelled')
     ended = sum(page['counts'].get(end, 0) for end in ends)
@@ -198,9 +198,9 @@
 def test_frozen_daemon_is_routed_round_and_alive_again_after_thaw(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # A daemon is frozen for longer than a suspicion lasts.  The others
-    # declare it dead and route round it.  When it thaws it must not
-    # declare them dead by its own old timers, but refute and be back.
+    # A daemon is paused for longer than a suspicion lasts.  The others
+    # declare it dead and route around it.  When it resumes it must not
+    # declare them dead by its expired timers, but refute its own death.
     one = running_mesh(zone_text, hosts_per_zone=4, settings=FAST)
     one.wait_ready()
     one.wait_in_force(one.accept(zone_text))
@@ -253,7 +253,7 @@
 
 
 def work_begun(leaving: str, gone: mesh.PlannedHost, port: int) -> int:
-    """Count what was begun on `gone`, as the part that stays knows it."""
+    """Count the requests started on `gone`, by the process that stays."""
     if leaving == 'target':
         page = processes.get_json(f'http://{gone.admin}/v1/timeline')
         kinds = [event['kind'] for event in page['events']]
@@ -262,7 +262,7 @@
 
 
 def check_whole(answers: list[processes.HttpAnswer]) -> None:
-    """Each answer is whole and the one to its own request."""
+    """Check that each answer is complete and belongs to its request."""
     for number, answer in enumerate(answers):
         assert answer.status == 200, answer.body
         assert json.loads(answer.body)['path'] == f'/{number}'
@@ -274,8 +274,8 @@
     leaving: str, running_mesh: StartMesh, zone_text: str
 ) -> None:
     # A target or its daemon is told to stop while it runs a long request
-    # and callers send without pause.  The long request and every other get
-    # their whole answers; once all have heard, nothing new comes there.
+    # and callers send continuously.  All requests must get complete answers,
+    # and once all daemons know of the stop, no new one may be sent there.
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
     one = running_mesh(text, hosts_per_zone=4, settings=FAST)
     one.wait_ready()
@@ -304,7 +304,7 @@
             one.signal(f'{leaving}-{gone.host}', signal.SIGTERM)
             one.wait_targets(3, others)
             heard = len(answers)
-            # The call that was on its way when all had heard is over.
+            # Wait for the call that was in flight at that moment.
             one.wait(lambda: len(answers) > heard + 1, 'that call ends')
             at_hearing = work_begun(leaving, gone, port)
             one.wait(lambda: len(answers) > heard + 50, 'more calls')
@@ -324,8 +324,8 @@
 def test_ingress_that_leaves_gives_callers_their_answers(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # The daemon that took callers' long requests is told to stop while
-    # they run on another host.
+    # The daemon that received callers' long requests is told to stop while
+    # the requests run on another host.
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
     one = running_mesh(text, hosts_per_zone=2, settings=FAST)
     one.wait_ready()
@@ -354,8 +354,8 @@
 def test_announcements_by_processes(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # A target dies without a word and its successor has another port; one
-    # announces a service that the text does not know yet.
+    # A target is killed and its successor has another port; another target
+    # announces a service that is not in the configuration yet.
     one = running_mesh(
         zone_text, hosts_per_zone=2, targets=False, settings=FAST
     )
--- a/testing/test_pacing.py
+++ b/testing/test_pacing.py
@@ -1,4 +1,4 @@
-"""Storms of joining daemons and retries, by plain rules and a set clock."""
+"""Waves of joining daemons and retries, with a simulated clock."""
 
 import heapq
 import random
@@ -11,9 +11,9 @@
 
 
 def test_storm_at_one_parent_is_admitted_at_its_rate() -> None:
-    # A zone loses power and 470 daemons come back within a tenth of a
-    # second, all to one parent.  It must take in 40 a second, and those
-    # that it sends away must not all come back at one moment.
+    # A zone loses power and 470 daemons return to one parent within a tenth
+    # of a second.  The parent must admit 40 a second, and those it refuses
+    # must not all return at the same moment.
     randomness = random.Random(conftest.SEED)
     limit = pacing.JoinLimit(0.0)
     coming = [(randomness.uniform(0, 0.1), host) for host in range(470)]
@@ -73,9 +73,9 @@
 def test_refused_child_goes_to_the_next_parent_and_returns_no_sooner(
     randomness: random.Random,
 ) -> None:
-    # The preferred parent is full and says when to come back.  The child
-    # must find the next one at once, and if all are full wait for the
-    # first that asked it back, not one moment less.
+    # The preferred parent is full and says when to retry.  The child must
+    # dial the next one at once.  If all are full it must wait for the one
+    # with the earliest retry time, and no less than that.
     choice = pacing.ParentChoice(randomness)
     assert choice.choose(('a', 'b'), 10.0) == ('a', 0.0)
     choice.refused('a', 10.0, 5.0)
@@ -88,7 +88,7 @@
 
 
 def dials_in(choice: pacing.ParentChoice, stood_s: float) -> int:
-    """Count the dials in a minute to one parent that drops each stream."""
+    """Count the dials in a minute to a parent that drops every stream."""
     now, dials = 0.0, 0
     while now < 60:
         peer, wait_s = choice.choose(('a',), now)
@@ -102,7 +102,7 @@
     randomness: random.Random,
 ) -> None:
     # A parent answers the greeting and fails right after.  A child that
-    # took the answer for success would dial it twenty times a second.
+    # treated the answer as success would dial it twenty times a second.
     assert dials_in(pacing.ParentChoice(randomness), 0.001) < 60
 
 
@@ -118,8 +118,8 @@
 
 
 def test_lost_parent_sends_its_children_to_many_others() -> None:
-    # A middle parent dies with 16 children.  Were they all to take the
-    # next in one common order, that one would be full at once.
+    # An intermediate parent with 16 children dies.  If all of them took the
+    # next parent in a common order, that one would be full at once.
     hosts = [f'host-{number}' for number in range(473)]
     places = {host: tree.place_of(host, 'z', hosts) for host in hosts}
     first = {h: p.parents for h, p in places.items() if len(p.parents) > 2}
--- a/testing/test_poison.py
+++ b/testing/test_poison.py
@@ -1,4 +1,4 @@
-"""A request that crashes each target that runs it."""
+"""Requests that crash every target that runs them."""
 
 from collections.abc import Callable
 import dataclasses
@@ -79,9 +79,9 @@
 
 
 def test_request_that_is_answered_is_cleared() -> None:
-    """A read that is asked for all the time runs wherever a target dies.
+    """A frequent read is running on most targets that get killed.
 
-    Two targets that were killed must not have everybody's read refused.
+    Two killed targets must not cause that read to be refused for everyone.
     """
     one = poison.PoisonList()
     one.crashed(NAMES, 'a', '1', 0.0)
@@ -111,11 +111,11 @@
 def test_crash_request_sent_again_and_again_leaves_targets_standing(
     running_mesh: Callable[..., processes.RunningMesh],
 ) -> None:
-    """One request crashes each target that runs it.
+    """One request crashes every target, and its caller keeps retrying it.
 
-    Its caller does not give up and sends it by way of every daemon in
-    turn.  Without a memory of it all four targets are down after four
-    sendings, and nobody's reads are answered.
+    The caller goes through each daemon in turn.  Without a record of the
+    crashes all four targets are down after four attempts, and no read of
+    any caller is answered.
     """
     one = running_mesh(TEXT)
     one.wait_ready()
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -1,4 +1,4 @@
-"""Following a version by the relays' words instead of every daemon's."""
+"""Rollout of a version by the reports of relays, not of every daemon."""
 
 from collections.abc import Callable
 import json
--- a/testing/test_seeds.py
+++ b/testing/test_seeds.py
@@ -1,4 +1,4 @@
-"""Bootstrap records under leases, by a store that fails and a herd."""
+"""Bootstrap records with a failing store and many starting daemons."""
 
 import collections
 import random
@@ -48,8 +48,8 @@
 async def test_lease_that_lapsed_during_a_pause_is_taken_anew(
     fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
-    # The holder is paused for a minute and does not know it: its record is
-    # gone.  On thaw it must be back with the next tick, and only once.
+    # The keeper is paused for a minute, and its record expires meanwhile.
+    # The next tick must write it again, and only once.
     one, mine = keeper_on(fake), record_of('a')
     assert await one.tick(mine, ['a', 'b'])
     clock.at = 60.0
@@ -64,9 +64,9 @@
 async def test_key_has_one_writer_though_the_former_one_thaws(
     fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
-    # A daemon is paused, its host gets a new process, then the old one
-    # thaws, finds its lease lapsed and used to write over the new record;
-    # its lapse later took a good record away.
+    # A daemon is paused, a new process starts on its host, then the old one
+    # resumes and finds its lease lapsed.  If it overwrote the new record,
+    # the end of its own lease would later delete that host's record.
     old, new = keeper_on(fake), keeper_on(fake)
     before, after = (
         record_of('a', incarnation=1),
@@ -90,8 +90,8 @@
 async def test_store_outage_during_renewal(
     outage_s: float, writes: int, fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
-    # Renewals fail.  While the lease stands nothing has to be written
-    # again; where it lapsed meanwhile, one write brings the record back.
+    # Renewals fail.  While the lease is valid nothing must be written; if
+    # it lapsed meanwhile, one write must restore the record.
     one, mine = keeper_on(fake), record_of('a')
     await one.tick(mine, ['a', 'b'])
     fake.outage = True
@@ -108,8 +108,8 @@
 async def test_lost_answer_leaves_one_record_and_one_lease_in_use(
     call: str, fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
-    # The write took effect, its answer is lost.  The record must not be
-    # written again under yet another lease, and must be renewed.
+    # The write took effect but its answer was lost.  The record must not be
+    # written again under another lease, and must be renewed.
     one, mine = keeper_on(fake), record_of('a')
     fake.lost[call] = 1
     await one.tick(mine, ['a', 'b'])
@@ -168,7 +168,7 @@
 
 
 def reads_by_second(outage_s: float, fleet: int) -> collections.Counter[int]:
-    """Return the reads that starting daemons send in each second."""
+    """Return the number of reads by starting daemons in each second."""
     randomness = random.Random(3)
     reads: collections.Counter[int] = collections.Counter()
     for _ in range(fleet):
@@ -185,8 +185,8 @@
 def test_herd_of_the_whole_fleet_reads_the_store_within_its_rate(
     outage_s: float,
 ) -> None:
-    # 5,200 daemons come back at once, some while the store is out: it must
-    # not be met by more reads than it can answer, at any second.
+    # 5,200 daemons return at once, some while the store is down.  In no
+    # second may the store get more reads than it can answer.
     reads = reads_by_second(outage_s, 5_200)
     assert max(reads.values()) < STORE_READS_PER_S * 0.9
     late = [count for at, count in reads.items() if at > 60]
@@ -196,9 +196,9 @@
 async def test_herd_that_knows_nobody_writes_few_records(
     fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
-    # Each daemon of a fleet that starts from nothing knows only itself and
-    # took itself for the one that is due: 5,200 leases at once.  The first
-    # quarter of them is run; whoever comes later finds all records there.
+    # Each daemon of a new fleet knows only itself.  If it then considered
+    # itself due a record, the store would get 5,200 leases at once.  Only
+    # the first quarter is run; later daemons find all records present.
     randomness = random.Random(5)
     starts = sorted(
         (rules.StartPacing(randomness).first_delay(), f'z{n % 11}', f'h{n}')
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Who is suspected and declared dead: whole zones of observers at once."""
+"""Suspicions and deaths in simulated zones of many observers."""
 
 import asyncio
 from collections.abc import Collection
@@ -48,13 +48,13 @@
 
 
 class Zone:
-    """Observers that share what they conclude, over a lossy network.
+    """Observers that share their conclusions, over a lossy network.
 
-    A suspect hears of its suspicion only by a probe that reaches it, as if
-    its streams were all broken.
+    A suspect learns of its suspicion only from a probe that reaches it, as
+    if all of its streams were broken.
 
-    :param down: hosts that answer nothing.
-    :param cut: hosts whose datagrams all get lost, both ways.
+    :param down: hosts that don't answer.
+    :param cut: hosts whose datagrams are all lost, in both directions.
     :param island: hosts that reach only each other.
     """
 
@@ -156,8 +156,8 @@
 def test_lost_members_are_declared_dead_and_no_other(
     lost: int, loss: float, rounds: int
 ) -> None:
-    # A rack of 40 goes at once, or one daemon hangs: it takes datagrams
-    # and answers none.  Calls go on being sent there until it is dead.
+    # A rack of 40 fails at once, or one daemon hangs: it receives datagrams
+    # and answers none.  Calls are sent there until it is declared dead.
     zone = Zone(ZONE, loss, seed=11)
     zone.run(3)
     gone = set(list(zone.records)[100 : 100 + lost])
@@ -168,8 +168,8 @@
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_no_live_member_is_declared_dead_on_a_lossy_network(seed: int) -> None:
-    # Every twentieth datagram is lost.  Suspicions come up all the time;
-    # a death would take a live target out of every table.
+    # Every twentieth datagram is lost.  That causes suspicions all the
+    # time, but a death would remove a live target from every table.
     zone = Zone(ZONE, 0.05, seed)
     zone.run(40)
     assert zone.dead_after == {}
@@ -183,9 +183,9 @@
 
 
 def test_observer_that_reaches_nobody_declares_nobody_dead() -> None:
-    # One daemon's network card fails.  It must go on with the targets it
-    # knows, not take its whole zone out of its own table; the others must
-    # find it dead as ever.
+    # One daemon's network card fails.  It must keep the targets it knows
+    # instead of removing its whole zone from its table, and the others must
+    # still declare it dead.
     zone = Zone(100, 0.0, seed=5)
     zone.run(3)
     lonely = 'h0007'
@@ -197,8 +197,8 @@
 
 
 def test_half_of_a_zone_that_is_cut_off_keeps_itself_alive() -> None:
-    # A switch fails: 30 of 90 reach only each other.  Their own records
-    # must stay; this side's view of the other half is its own affair.
+    # A switch fails: 30 of 90 hosts reach only each other, and must keep
+    # each other alive.  Their view of the other 60 is not checked.
     zone = Zone(90, 0.0, seed=6)
     island = set(list(zone.records)[:30])
     zone.island = island
@@ -207,8 +207,8 @@
 
 
 def test_death_is_found_though_its_finder_dies_too() -> None:
-    # The only one who found the silence dies before its suspicion ends.
-    # The others only heard of it, and must act after a longer wait.
+    # The only observer that found the silence dies before the suspicion
+    # ends.  The others only received it, and must act after a longer wait.
     zone = Zone(60, 0.0, seed=7)
     gone, finder = 'h0001', 'h0002'
     zone.down = {gone}
@@ -311,8 +311,9 @@
 
 
 def test_last_member_of_a_zone_is_probed_from_other_zones() -> None:
-    # Two of a zone's three hosts are gone; when the last one goes, nobody
-    # in its zone is left to miss it and its targets stayed in the tables.
+    # Two of a zone's three hosts are gone.  When the last one fails, no
+    # member of its zone is left to find it silent, and its targets would
+    # stay in the tables.
     fleet = [record_of(f'a{n}') for n in range(4)]
     fleet += [record_of('b0', availability_zone='b')]
     fleet += [record_of(f'c{n}', availability_zone='c') for n in range(3)]
@@ -321,7 +322,7 @@
 
 
 class FewMembers:
-    """A fleet for one prober; follows the merge rule's order."""
+    """A small fleet that merges records like ``decisions.fleet``."""
 
     def __init__(self, *records: members.MemberRecord) -> None:
         self.records = {one.host: one for one in records}
@@ -341,7 +342,7 @@
 
 
 class Sent:
-    """Takes in what a prober sends."""
+    """A transport that records the datagrams of a prober."""
 
     def __init__(self) -> None:
         self.datagrams: list[tuple[control_pb2.Probe, pings.Address]] = []
@@ -374,8 +375,8 @@
     counted: str,
     randomness: random.Random,
 ) -> None:
-    # In the last case the process is frozen while it waits for an answer:
-    # on waking it sees the expired wait before any datagram.
+    # In the last case the process is paused while it waits for an answer,
+    # and handles the expired timeout before any datagram.
     hosts = ('a', 'b', 'c', 'd')
     fleet = FewMembers(*(record_of(h, address=h) for h in hosts))
     clock: Any = fakes.Clock()
@@ -410,7 +411,7 @@
 
 
 class Link:
-    """Carries a prober's datagrams to the others of its loop."""
+    """A transport that delivers datagrams to the other probers."""
 
     def __init__(
         self,
@@ -480,8 +481,8 @@
     count: str,
     randomness: random.Random,
 ) -> None:
-    # A daemon restarts on the address of a dead one, or an answer comes
-    # late: taken for the subject's, it would keep a dead target in use.
+    # A daemon starts on the address of a dead one, or an answer arrives
+    # late.  If it counted as the subject's, a dead target would stay in use.
     with open_prober(randomness) as (prober, fleet, sent, counts):
         probing_it = asyncio.ensure_future(
             prober.pings.ping(fleet.records['subject'])
@@ -517,7 +518,7 @@
 async def test_suspect_refutes_in_its_answer_to_the_probe(
     randomness: random.Random,
 ) -> None:
-    # The suspect's streams are broken, so only the probe tells it.
+    # The suspect's streams are broken, so only the probe informs it.
     with open_prober(randomness) as (prober, fleet, sent, _):
         myself = own.Myself(fleet.records['me'])
         prober.fleet.offer = myself.refute
--- a/testing/test_tables.py
+++ b/testing/test_tables.py
@@ -1,4 +1,4 @@
-"""The routing table that is kept up equals one that is compiled whole."""
+"""The incrementally updated routing table equals one compiled in full."""
 
 import random
 
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -1,4 +1,4 @@
-"""The computed tree with thousands of members, in one process."""
+"""The distribution tree computed for thousands of members."""
 
 import collections
 import functools
@@ -21,7 +21,7 @@
 
 
 def depth_of(host: str, found: dict[str, tree.Place]) -> int:
-    """Return the steps from a relay to `host` by preferred parents."""
+    """Return the steps from a relay to `host` over preferred parents."""
     steps = 0
     while not found[host].relay:
         host = found[host].parents[0]
@@ -65,9 +65,9 @@
     ],
 )
 def test_one_departure_of_5200_moves_few_children(position: int) -> None:
-    # One host fails.  Were the tree dealt out anew, each of its zone's
-    # daemons would dial another parent, on every one of the day's 482
-    # losses and replacements; other zones must not move at all.
+    # One host fails.  If the children were redistributed, all daemons of
+    # its zone would dial another parent, at each of the day's 482 losses
+    # and replacements.  Other zones must not change at all.
     zone, size = ZONES[0], FLEET // len(ZONES) + 1
     hosts = hosts_of(zone, size)
     order = tree.ranked(zone, hosts)
@@ -79,8 +79,8 @@
         for host in after
         if before[host].parents[:1] != after[host].parents[:1]
     ]
-    # A relay's loss moves its middle parents, the children of the one that
-    # takes its place and those of the new middle parent: 63 measured.
+    # Losing a relay moves its intermediate parents, the children of the
+    # daemon that replaces it and those of the new intermediate parent: 63.
     assert len(moved) <= 5 * tree.FAN_OUT
 
 
@@ -102,7 +102,7 @@
 
 
 def linked_zones(lost: frozenset[str]) -> set[frozenset[str]]:
-    """Return the pairs of zones that are linked without `lost` hosts."""
+    """Return the pairs of zones that stay linked without `lost` hosts."""
     zones = relays_of_all()
     pairs = set()
     for mine in zones:
@@ -120,9 +120,9 @@
 
 
 def test_any_one_frozen_relay_leaves_every_pair_of_zones_linked() -> None:
-    # A relay freezes.  Both relays of another zone had chosen it, so that
-    # nothing crosses between the two zones until it is declared dead, and
-    # calls go on to targets that have left.
+    # A relay freezes.  If both relays of another zone are connected to it,
+    # no update passes between the two zones until it is declared dead, and
+    # calls still go to targets that have left.
     every_pair = len(ZONES) * (len(ZONES) - 1) // 2
     for zone in relays_of_all():
         for relay in zone.relays:
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -1,4 +1,4 @@
-"""Which configuration a daemon applies, and which part it may pass on."""
+"""Which configuration updates a daemon applies and passes on."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -129,10 +129,10 @@
 
 
 def test_scope_that_grows_while_an_update_is_on_its_way_is_filled() -> None:
-    # A target of another service starts on a host while a new version is
-    # on its way there.  The version comes cut for the old scope, and the
-    # greeting with the new scope crosses it.  The daemon must end with
-    # the services of its new target, at the same revision.
+    # A target of another service starts on a host while a new version is in
+    # flight to it.  The version is cut for the old scope and crosses the
+    # greeting with the new one.  The daemon must end up with the services
+    # of its new target, at the same revision.
     parent = fleets.Node('parent')
     child = fleets.Node('child', A)
     parent.hold(OLD)
@@ -146,9 +146,9 @@
 
 
 def test_new_parent_does_not_pass_its_old_part_on_as_the_whole() -> None:
-    # A middle parent dies and a leaf takes its place.  The leaf wants the
-    # whole from then on, but holds the part for its own targets until its
-    # own parent answers, and a newer version in that old part comes in
+    # An intermediate parent dies and a leaf replaces it.  The leaf now needs
+    # the whole configuration, but until its own parent answers it holds only
+    # the part for its targets, and a newer version of that part arrives
     # first.  A child that took the part for the whole would drop routes.
     relay = fleets.Node('relay')
     middle = fleets.Node('middle', A)
@@ -182,8 +182,8 @@
 
 def test_slow_peer_gets_the_newest_and_costs_no_queue() -> None:
     # A peer reads nothing while 1,000 versions are accepted and a member
-    # changes 1,000 times.  What waits for it must not grow, and once it
-    # reads it gets the last state alone.
+    # changes 1,000 times.  The data queued for it must not grow, and once
+    # it reads it gets only the latest state.
     parent = fleets.Node('parent')
     child = fleets.Node('child')
     parent.hold(OLD)
@@ -203,9 +203,10 @@
 def test_record_of_the_dead_that_comes_late_is_answered_with_the_death() -> (
     None
 ):
-    # One daemon knows that a member died, its peer hears of it for the
-    # first time, as alive, from a third one.  Told so, the first must
-    # answer, or calls would go to the dead until the next reconciliation.
+    # One daemon knows that a member died; its peer receives the member's
+    # earlier live record from a third daemon and forwards it.  The first
+    # must answer with the death, or calls would go to the dead member until
+    # the next reconciliation.
     knows = fleets.Node('knows')
     other = fleets.Node('other')
     knows.learn([fleets.member('gone', status=members.Status.DEAD)])
@@ -218,9 +219,9 @@
 
 
 def test_the_dead_are_forgotten_also_while_others_remember_them() -> None:
-    # Hosts are replaced by the hundred each day.  A daemon that has
-    # forgotten one meets another that has not yet; were it taught its
-    # dead anew, it would teach others in turn, and no daemon ever forgot.
+    # Hundreds of hosts are replaced each day.  A daemon that has forgotten
+    # one connects to another that has not.  If it received the record again
+    # it would pass it on in turn, and no daemon would ever forget it.
     first = fleets.Node('first')
     second = fleets.Node('second')
     gone = fleets.member('gone', status=members.Status.LEFT)
@@ -243,9 +244,9 @@
 def test_greeting_among_5200_members_is_bounded_in_bytes(
     changed: int, bound: int
 ) -> None:
-    # A herd of children moves to new parents, each with the whole fleet
-    # in its memory.  Greetings that list every member take 114 KB each
-    # way, and the parents have 7 KB/s.
+    # Many children move to new parents, each knowing the whole fleet.
+    # Greetings that list every member take 114 KB each way, and a parent's
+    # budget is 7 KB/s.
     records = fleets.many_members(5200)
     parent = fleets.Node('parent')
     child = fleets.Node('child')
@@ -263,7 +264,7 @@
 def told(
     revision: int, *hosts: str, below: Iterable[progress.Progress] = ()
 ) -> progress.Progress:
-    """Return what the first host tells, with the others at `revision`."""
+    """Return the report of the first host, with the others at `revision`."""
     others = [progress.combine(host, revision, ()) for host in hosts[1:]]
     return progress.combine(hosts[0], revision, [*others, *below])
 
@@ -308,8 +309,8 @@
 
 def test_progress_of_a_tree_reaches_its_root_in_few_messages() -> None:
     # An operator asks one relay whether a version is in force everywhere.
-    # Its word must fall back when a daemon lags, and each version must
-    # cost each link one word, not one for every daemon below.
+    # Its report must show a daemon that lags, and each version must cost
+    # one report per link, not one for every daemon below.
     root = fleets.Node('root')
     middles = [fleets.Node(f'middle-{n}') for n in range(4)]
     pipes = [fleets.Pipe(one, root) for one in middles]
