--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -28,7 +28,7 @@
         pytest.param(0, 0, 0, 0, id='nobody'),
     ],
 )
-def test_a_few_near_ones_are_asked(
+def test_only_a_few_peers_of_the_own_zone_are_asked(
     near: int, far: int, asked: int, wanted: int
 ) -> None:
     chosen = asking.to_ask(neighbours(near, far, asked))
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -16,7 +16,7 @@
     return [now for now in asked if one.reads_now(now)]
 
 
-def test_a_slow_link_reads_only_when_nobody_is_heard_of() -> None:
+def test_slow_link_reads_only_without_followers() -> None:
     one = slow()
     assert not reads(one, 0.0, following.HEARD_S - BEAT_S)
     first, second, *_ = reads(one, following.HEARD_S, 10.0)
@@ -25,7 +25,7 @@
     assert not reads(one, 20.0, 20.0 + following.HEARD_S - BEAT_S)
 
 
-def test_after_an_outage_slow_links_wait_for_those_that_follow() -> None:
+def test_after_an_outage_slow_links_wait_for_followers() -> None:
     """The store comes back after eight seconds, in which nobody followed it.
 
     If all hosts with slow links then read 400 KB at once, their links are
@@ -41,7 +41,7 @@
     assert not reads(one, 9.0 + BEAT_S, 9.0 + following.HEARD_S)
 
 
-def test_a_zone_whose_fast_links_stay_away_reads_for_itself() -> None:
+def test_zone_without_followers_reads_for_itself() -> None:
     one = slow()
     one.store_answers(False, 1.0)
     one.store_answers(True, 9.0)
@@ -49,7 +49,7 @@
     assert read_at - 9.0 <= following.HEARD_S + BEAT_S
 
 
-def test_an_answer_in_the_middle_changes_nothing() -> None:
+def test_first_store_answer_delays_no_read() -> None:
     one = slow()
     one.store_answers(True, 5.0)
     assert one.reads_now(5.0)
@@ -80,7 +80,7 @@
     assert read_at <= acknowledged + IN_FORCE_S
 
 
-def test_of_a_zone_of_slow_links_one_reads_at_a_time() -> None:
+def test_slow_links_of_a_zone_read_one_at_a_time() -> None:
     """Requests stall in a whole fleet when a few hosts lose their watch.
 
     All fast hosts of a zone lose the store's watch at the same moment and
@@ -107,9 +107,7 @@
     assert max(pauses) <= following.PEER_READ_WAIT_S + BEAT_S / len(hosts)
 
 
-def test_one_that_loses_the_store_is_replaced_by_another_that_follows() -> (
-    None
-):
+def test_follower_that_loses_the_store_is_replaced_by_another() -> None:
     one = slow()
     one.heard('first', 5.0)
     one.heard('second', 5.0)
@@ -119,7 +117,7 @@
     assert one.reads_now(5.0 + BEAT_S)
 
 
-def test_a_word_of_one_that_never_followed_changes_nothing() -> None:
+def test_loss_on_a_host_that_never_followed_is_ignored() -> None:
     one = slow()
     one.heard('fast', 5.0)
     one.lost('slow')
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -66,7 +66,7 @@
     return [one.port for one in targets.found.values()]
 
 
-def test_target_that_goes_silent_is_forgotten(
+def test_silent_target_is_removed(
     targets: local.LocalTargets,
 ) -> None:
     targets.announce(announced(1, until=4.0))
@@ -79,7 +79,7 @@
     assert [t.name for t in targets.myself.record.targets] == ['other']
 
 
-def test_pause_of_the_daemon_lets_no_announcement_lapse(
+def test_pause_of_the_daemon_expires_no_announcement(
     targets: local.LocalTargets,
 ) -> None:
     # The daemon is paused for a minute.  When it resumes, all announcements
@@ -138,7 +138,7 @@
     return processes.get_json(f'http://127.0.0.1:{port}/standin/counts')
 
 
-def begun(port: int) -> int:
+def started_requests(port: int) -> int:
     """Count the requests that a target has started, with any outcome."""
     page = target_counts(port)
     ends = ('ran', 'shed', 'deadline', 'cancelled')
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.processes
-def test_frozen_daemon_is_routed_round_and_alive_again_after_thaw(
+def test_paused_daemon_is_routed_around_and_alive_after_resuming(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
     # A daemon is paused for longer than a suspicion lasts.  The others
@@ -252,13 +252,13 @@
             sending.result()
 
 
-def work_begun(leaving: str, gone: mesh.PlannedHost, port: int) -> int:
+def started_work(leaving: str, gone: mesh.PlannedHost, port: int) -> int:
     """Count the requests started on `gone`, by the process that stays."""
     if leaving == 'target':
         page = processes.get_json(f'http://{gone.admin}/v1/timeline')
         kinds = [event['kind'] for event in page['events']]
         return kinds.count('call.dispatched')
-    return begun(port)
+    return started_requests(port)
 
 
 def check_whole(answers: list[processes.HttpAnswer]) -> None:
@@ -270,7 +270,7 @@
 
 @pytest.mark.processes
 @pytest.mark.parametrize('leaving', ['target', 'daemon'])
-def test_one_that_leaves_gets_no_new_work_and_ends_what_it_has(
+def test_leaving_one_gets_no_new_work_and_finishes_its_own(
     leaving: str, running_mesh: StartMesh, zone_text: str
 ) -> None:
     # A target or its daemon is told to stop while it runs a long request
@@ -303,12 +303,14 @@
         with calling(ingress, service) as answers:
             one.signal(f'{leaving}-{gone.host}', signal.SIGTERM)
             one.wait_targets(3, others)
-            heard = len(answers)
+            answers_before = len(answers)
             # Wait for the call that was in flight at that moment.
-            one.wait(lambda: len(answers) > heard + 1, 'that call ends')
-            at_hearing = work_begun(leaving, gone, port)
-            one.wait(lambda: len(answers) > heard + 50, 'more calls')
-            assert work_begun(leaving, gone, port) == at_hearing
+            one.wait(
+                lambda: len(answers) > answers_before + 1, 'that call ends'
+            )
+            started_before = started_work(leaving, gone, port)
+            one.wait(lambda: len(answers) > answers_before + 50, 'more calls')
+            assert started_work(leaving, gone, port) == started_before
         ended = [future.result() for future in pending]
     check_whole(answers)
     for answer in ended:
@@ -321,7 +323,7 @@
 
 
 @pytest.mark.processes
-def test_ingress_that_leaves_gives_callers_their_answers(
+def test_leaving_ingress_delivers_pending_answers(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
     # The daemon that received callers' long requests is told to stop while
@@ -345,7 +347,10 @@
             )
             for number in range(LONG_CALLS)
         ]
-        one.wait(lambda: begun(port) == LONG_CALLS, 'all requests have begun')
+        one.wait(
+            lambda: started_requests(port) == LONG_CALLS,
+            'all requests have begun',
+        )
         assert one.stop(f'daemon-{ingress.host}') == 0
         check_whole([future.result() for future in pending])
 
--- a/testing/test_pacing.py
+++ b/testing/test_pacing.py
@@ -10,7 +10,7 @@
 from testing import conftest
 
 
-def test_storm_at_one_parent_is_admitted_at_its_rate() -> None:
+def test_wave_at_one_parent_is_admitted_at_its_rate() -> None:
     # A zone loses power and 470 daemons return to one parent within a tenth
     # of a second.  The parent must admit 40 a second, and those it refuses
     # must not all return at the same moment.
@@ -36,7 +36,7 @@
     assert asked < 4 * 470
 
 
-def test_come_back_times_of_one_wave_are_spread() -> None:
+def test_retry_times_of_one_wave_are_spread() -> None:
     limit = pacing.JoinLimit(0.0)
     waits = [limit.admit(0.0) for _ in range(400)]
     refused = [wait for wait in waits if wait]
@@ -46,7 +46,7 @@
     assert min(gaps) == pytest.approx(1 / pacing.JOINS_PER_S)
 
 
-def test_wave_beyond_the_longest_wait_is_still_sent_away_in_bounds() -> None:
+def test_retry_times_of_a_huge_wave_are_bounded() -> None:
     limit = pacing.JoinLimit(0.0)
     waits = [limit.admit(0.0) for _ in range(5200)]
     assert max(waits) <= pacing.MAX_RETRY_AFTER_S + 1 / pacing.JOINS_PER_S
@@ -70,7 +70,7 @@
         assert 400 <= sum(low <= one < high for one in delays) <= 600
 
 
-def test_refused_child_goes_to_the_next_parent_and_returns_no_sooner(
+def test_refused_child_tries_the_next_parent_and_honours_the_delay(
     randomness: random.Random,
 ) -> None:
     # The preferred parent is full and says when to retry.  The child must
@@ -98,7 +98,7 @@
     return dials
 
 
-def test_parent_that_takes_and_drops_streams_is_not_dialled_without_end(
+def test_parent_that_drops_streams_is_not_dialled_in_a_loop(
     randomness: random.Random,
 ) -> None:
     # A parent answers the greeting and fails right after.  A child that
@@ -106,7 +106,7 @@
     assert dials_in(pacing.ParentChoice(randomness), 0.001) < 60
 
 
-def test_stream_that_stood_is_opened_again_at_once(
+def test_stable_stream_is_reopened_at_once(
     randomness: random.Random,
 ) -> None:
     choice = pacing.ParentChoice(randomness)
@@ -117,7 +117,7 @@
     assert wait_s <= pacing.BASE_S
 
 
-def test_lost_parent_sends_its_children_to_many_others() -> None:
+def test_children_of_a_lost_parent_spread_over_many_others() -> None:
     # An intermediate parent with 16 children dies.  If all of them took the
     # next parent in a common order, that one would be full at once.
     hosts = [f'host-{number}' for number in range(473)]
--- a/testing/test_poison.py
+++ b/testing/test_poison.py
@@ -61,11 +61,11 @@
         pytest.param([('a', '1')], 1, 0, id='one'),
         pytest.param([('a', '1'), ('b', '1')], 1, 60, id='two-targets'),
         pytest.param([('a', '1'), ('a', '2')], 1, 60, id='one-target-twice'),
-        pytest.param([('a', '1'), ('a', '1')], 1, 0, id='heard-of-twice'),
+        pytest.param([('a', '1'), ('a', '1')], 1, 0, id='reported-twice'),
         pytest.param(
-            [('a', '1'), ('b', '1'), ('c', '1')], 1, 120, id='and-again'
+            [('a', '1'), ('b', '1'), ('c', '1')], 1, 120, id='three-targets'
         ),
-        pytest.param([('a', '1'), ('b', '1')], 62, 0, id='time-is-up'),
+        pytest.param([('a', '1'), ('b', '1')], 62, 0, id='refusal-expired'),
     ],
 )
 def test_when_a_request_is_refused(
@@ -90,7 +90,7 @@
     assert one.refused_for_s(CALL, 1.0) == 0
 
 
-def test_memory_is_bounded_and_fades() -> None:
+def test_crash_records_are_bounded_and_expire() -> None:
     one = poison.PoisonList()
     for number in range(2 * poison.MAX_SUSPECTS):
         one.crashed((str(number),), 'a', '1', float(number))
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.processes
-def test_crash_request_sent_again_and_again_leaves_targets_standing(
+def test_retried_crash_request_leaves_targets_running(
     running_mesh: Callable[..., processes.RunningMesh],
 ) -> None:
     """One request crashes every target, and its caller keeps retrying it.
@@ -121,24 +121,24 @@
     one.wait_ready()
     one.wait_in_force(one.accept(TEXT))
     one.wait_targets(4)
-    words: list[str] = []
+    outcomes: list[str] = []
     for number in range(12):
         host = one.plan.hosts[number % 4]
         answer = processes.call(
             host, 'read', path='/', headers={'Standin-Crash': 'yes'}
         )
-        words.append(answer.outcome)
+        outcomes.append(answer.outcome)
         if answer.outcome == 'not-run':
             problem = json.loads(answer.body)
             assert problem['type'].endswith('poison')
             assert int(answer.headers['Retry-After']) >= 30
-    assert words[0] == 'unknown'
-    assert set(words[4:]) == {'not-run'}
-    standing = [
+    assert outcomes[0] == 'unknown'
+    assert set(outcomes[4:]) == {'not-run'}
+    running = [
         host
         for host in one.plan.hosts
         if one.started[f'target-{host.host}'].poll() is None
     ]
-    assert len(standing) >= 2
+    assert len(running) >= 2
     for host in one.plan.hosts:
         assert processes.call(host, 'read').status == 200
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -10,21 +10,21 @@
 
 
 @pytest.mark.parametrize(
-    ('words', 'arrived'),
+    ('reports', 'in_force'),
     [
-        pytest.param([(7, 3, True), (7, 1, False)], True, id='one-for-all'),
+        pytest.param([(7, 3, True), (7, 1, False)], True, id='one-covers-all'),
         pytest.param([(6, 3, True), (8, 1, False)], False, id='one-behind'),
         pytest.param([(7, 2, False), (7, 1, False)], False, id='one-moving'),
-        pytest.param([(7, 3, False)], False, id='one-twice-for-another'),
-        pytest.param([], False, id='nobody'),
+        pytest.param([(7, 3, False)], False, id='one-counted-twice'),
+        pytest.param([], False, id='no-reports'),
     ],
 )
-def test_zone_has_a_version_only_when_all_were_told(
-    words: list[tuple[int, int, bool]], arrived: bool
+def test_version_is_in_force_in_a_zone_only_if_all_are_covered(
+    reports: list[tuple[int, int, bool]], in_force: bool
 ) -> None:
-    spoken = [rollout.RelayWord('a', *word) for word in words]
+    zone_reports = [rollout.RelayWord('a', *report) for report in reports]
     other = rollout.RelayWord('b', 1, 9, True)
-    assert rollout.of_zone('a', 3, [*spoken, other]).has(7) is arrived
+    assert rollout.of_zone('a', 3, [*zone_reports, other]).has(7) is in_force
 
 
 @pytest.mark.processes
--- a/testing/test_seeds.py
+++ b/testing/test_seeds.py
@@ -45,7 +45,7 @@
     return [seeds.read_seed(kv).unwrap() for kv in found]
 
 
-async def test_lease_that_lapsed_during_a_pause_is_taken_anew(
+async def test_record_is_rewritten_after_its_lease_lapsed_in_a_pause(
     fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
     # The keeper is paused for a minute, and its record expires meanwhile.
@@ -61,7 +61,7 @@
     assert one.counts.totals['seeds.lease-lapsed'] == 1
 
 
-async def test_key_has_one_writer_though_the_former_one_thaws(
+async def test_resumed_process_does_not_overwrite_its_successor(
     fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
     # A daemon is paused, a new process starts on its host, then the old one
@@ -136,7 +136,7 @@
         assert await stored(fake) == []
 
 
-async def test_garbage_among_the_records_is_passed_over(
+async def test_undecodable_records_are_skipped(
     fake: fakes.FakeStore, randomness: random.Random
 ) -> None:
     await keeper_on(fake).tick(record_of('a'), ['a'])
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize('outage_s', [0.0, 5.0, 30.0, 300.0])
-def test_herd_of_the_whole_fleet_reads_the_store_within_its_rate(
+def test_restart_of_the_whole_fleet_stays_within_the_read_rate(
     outage_s: float,
 ) -> None:
     # 5,200 daemons return at once, some while the store is down.  In no
@@ -193,7 +193,7 @@
     assert max(late, default=0) < STORE_READS_PER_S / 2
 
 
-async def test_herd_that_knows_nobody_writes_few_records(
+async def test_new_fleet_writes_few_records(
     fake: fakes.FakeStore, clock: fakes.Clock
 ) -> None:
     # Each daemon of a new fleet knows only itself.  If it then considered
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -188,12 +188,12 @@
     # still declare it dead.
     zone = Zone(100, 0.0, seed=5)
     zone.run(3)
-    lonely = 'h0007'
-    zone.cut = {lonely}
-    zone.run(50, only=[lonely])
+    isolated = 'h0007'
+    zone.cut = {isolated}
+    zone.run(50, only=[isolated])
     assert zone.suspected == []
     zone.run(8)
-    assert list(zone.dead_after) == [lonely]
+    assert list(zone.dead_after) == [isolated]
 
 
 def test_half_of_a_zone_that_is_cut_off_keeps_itself_alive() -> None:
@@ -206,7 +206,7 @@
     assert not island & set(zone.dead_after)
 
 
-def test_death_is_found_though_its_finder_dies_too() -> None:
+def test_death_is_declared_though_its_first_observer_dies_too() -> None:
     # The only observer that found the silence dies before the suspicion
     # ends.  The others only received it, and must act after a longer wait.
     zone = Zone(60, 0.0, seed=7)
@@ -475,7 +475,7 @@
         'ping-meant-for-another',
     ],
 )
-async def test_answer_that_proves_nothing_is_ignored_and_counted(
+async def test_invalid_answer_is_ignored_and_counted(
     change: dict[str, Any],
     address: pings.Address,
     count: str,
@@ -538,7 +538,7 @@
     assert (told.status, told.incarnation) == (ALIVE, 2)
 
 
-async def test_helper_says_that_it_was_asked_and_a_flood_is_bounded(
+async def test_helper_confirms_requests_and_bounds_a_flood(
     randomness: random.Random,
 ) -> None:
     with open_prober(randomness) as (prober, _, sent, counts):
--- a/testing/test_tables.py
+++ b/testing/test_tables.py
@@ -49,7 +49,7 @@
     )
 
 
-def test_kept_table_equals_the_compiled_one(
+def test_incremental_table_equals_the_compiled_one(
     randomness: random.Random,
 ) -> None:
     kept = tables.TableCompiler()
@@ -67,7 +67,7 @@
             assert kept.current(version) == whole
 
 
-def test_change_of_one_member_leaves_other_routes_alone(
+def test_change_of_one_member_keeps_other_routes(
     randomness: random.Random,
 ) -> None:
     version = version_of(1, randomness)
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -36,11 +36,11 @@
         pytest.param(2, 0, id='relays-only'),
         pytest.param(34, 1, id='two-full-relays'),
         pytest.param(35, 2, id='first-middle-parents'),
-        pytest.param(473, 2, id='a-zone-of-the-letter'),
-        pytest.param(600, 2, id='a-zone-and-a-quarter'),
+        pytest.param(473, 2, id='zone-of-the-required-size'),
+        pytest.param(600, 2, id='larger-zone'),
     ],
 )
-def test_tree_of_a_zone_is_shallow_and_no_parent_overfull(
+def test_tree_of_a_zone_is_shallow_and_no_parent_overloaded(
     count: int, depth: int
 ) -> None:
     hosts = hosts_of('z', count)
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -108,27 +108,27 @@
         ),
     ],
 )
-def test_update_is_judged(
+def test_outcome_of_an_update(
     held: versions.Holding,
     wanted: config.Interest,
     update: versions.ConfigUpdate,
     verdict: versions.Verdict,
 ) -> None:
-    judged = versions.judge(held, wanted, update)
-    assert judged.verdict is verdict
+    result = versions.judge(held, wanted, update)
+    assert result.verdict is verdict
     if verdict is not APPLIED:
-        assert judged.holding is held
+        assert result.holding is held
     else:
         complete = NEW if update.revision == NEW.revision else OLD
-        assert judged.holding == cut(complete, update.scope)
+        assert result.holding == cut(complete, update.scope)
 
 
-def test_wider_update_is_cut_to_what_is_wanted() -> None:
-    judged = versions.judge(cut(OLD, AC), A, whole(NEW, AC))
-    assert judged.holding == cut(NEW, A)
+def test_update_with_a_wider_scope_is_cut_to_the_wanted_one() -> None:
+    result = versions.judge(cut(OLD, AC), A, whole(NEW, AC))
+    assert result.holding == cut(NEW, A)
 
 
-def test_scope_that_grows_while_an_update_is_on_its_way_is_filled() -> None:
+def test_scope_grown_while_an_update_is_in_flight_is_filled() -> None:
     # A target of another service starts on a host while a new version is in
     # flight to it.  The version is cut for the old scope and crosses the
     # greeting with the new one.  The daemon must end up with the services
@@ -180,7 +180,7 @@
     assert child.replica.holding == cut(NEW, A)
 
 
-def test_slow_peer_gets_the_newest_and_costs_no_queue() -> None:
+def test_slow_peer_gets_only_the_latest_state() -> None:
     # A peer reads nothing while 1,000 versions are accepted and a member
     # changes 1,000 times.  The data queued for it must not grow, and once
     # it reads it gets only the latest state.
@@ -200,7 +200,7 @@
     assert child.replica.fleet.records['busy'].sequence == 999
 
 
-def test_record_of_the_dead_that_comes_late_is_answered_with_the_death() -> (
+def test_late_live_record_of_a_dead_member_is_answered_with_its_death() -> (
     None
 ):
     # One daemon knows that a member died; its peer receives the member's
@@ -218,7 +218,7 @@
     assert not other.replica.fleet.records['gone'].live
 
 
-def test_the_dead_are_forgotten_also_while_others_remember_them() -> None:
+def test_departed_members_are_forgotten_though_others_remember_them() -> None:
     # Hundreds of hosts are replaced each day.  A daemon that has forgotten
     # one connects to another that has not.  If it received the record again
     # it would pass it on in turn, and no daemon would ever forget it.
@@ -261,7 +261,7 @@
     assert pipe.bytes_sent < bound
 
 
-def told(
+def report_of(
     revision: int, *hosts: str, below: Iterable[progress.Progress] = ()
 ) -> progress.Progress:
     """Return the report of the first host, with the others at `revision`."""
@@ -270,41 +270,43 @@
 
 
 @pytest.mark.parametrize(
-    ('word', 'live', 'known'),
+    ('report', 'live', 'known'),
     [
-        pytest.param(told(5, 'a'), 'a', True, id='alone'),
-        pytest.param(told(5, 'a', 'b', 'c'), 'abc', True, id='all-told'),
+        pytest.param(report_of(5, 'a'), 'a', True, id='alone'),
         pytest.param(
-            told(7, 'a', 'b', below=[told(4, 'c')]),
+            report_of(5, 'a', 'b', 'c'), 'abc', True, id='all-reported'
+        ),
+        pytest.param(
+            report_of(7, 'a', 'b', below=[report_of(4, 'c')]),
             'abc',
             False,
             id='one-behind',
         ),
         pytest.param(
-            told(4, 'a', below=[told(5, 'b', 'c')]),
+            report_of(4, 'a', below=[report_of(5, 'b', 'c')]),
             'abc',
             False,
             id='itself-behind',
         ),
-        pytest.param(told(5, 'a', 'b'), 'abc', False, id='one-untold'),
+        pytest.param(report_of(5, 'a', 'b'), 'abc', False, id='one-missing'),
         pytest.param(
-            told(5, 'a', 'b', 'b'),
+            report_of(5, 'a', 'b', 'b'),
             'abc',
             False,
-            id='one-told-twice-for-one-untold',
+            id='one-reported-twice-one-missing',
         ),
         pytest.param(
-            told(5, 'a', below=[progress.NOTHING_TOLD]),
+            report_of(5, 'a', below=[progress.NOTHING_TOLD]),
             'ab',
             False,
-            id='child-has-not-told-yet',
+            id='child-has-not-reported-yet',
         ),
     ],
 )
-def test_version_is_known_to_be_in_force_once_all_told(
-    word: progress.Progress, live: str, known: bool
+def test_version_is_known_to_be_in_force_once_all_reported(
+    report: progress.Progress, live: str, known: bool
 ) -> None:
-    assert progress.in_force(5, word, live) is known
+    assert progress.in_force(5, report, live) is known
 
 
 def test_progress_of_a_tree_reaches_its_root_in_few_messages() -> None:
@@ -335,14 +337,14 @@
     ('store_read', 'holding', 'asked', 'known', 'enough'),
     [
         pytest.param(True, 0, 0, 0, True, id='store-answered'),
-        pytest.param(False, 0, 0, 0, False, id='nobody-to-ask'),
-        pytest.param(False, 1, 3, 9, False, id='one-of-three-others-left'),
+        pytest.param(False, 0, 0, 0, False, id='no-peers'),
+        pytest.param(False, 1, 3, 9, False, id='more-peers-to-ask'),
         pytest.param(False, 3, 6, 9, True, id='three-hold-a-version'),
         pytest.param(False, 1, 2, 2, True, id='all-asked-one-holds'),
-        pytest.param(False, 0, 2, 2, False, id='all-asked-in-vain'),
+        pytest.param(False, 0, 2, 2, False, id='all-asked-none-holds'),
     ],
 )
-def test_fresh_daemon_serves_once_it_heard_enough(
+def test_starting_daemon_serves_once_it_heard_enough_peers(
     store_read: bool, holding: int, asked: int, known: int, enough: bool
 ) -> None:
     assert versions.heard_enough(store_read, holding, asked, known) is enough
