--- a/src/peridotpost/decisions/fleet.py
+++ b/src/peridotpost/decisions/fleet.py
@@ -78,10 +78,10 @@
         held = self.records.get(record.host)
         if held is not None and record.mark <= held.mark:
             return False
-        before = 0 if held is None else _bucket_term(held)
+        old_term = 0 if held is None else _bucket_term(held)
         bucket = bucket_of(record.host)
-        changed = self.sums[bucket] + _bucket_term(record) - before
-        self.sums[bucket] = changed % SUM_MODULUS
+        bucket_sum = self.sums[bucket] + _bucket_term(record) - old_term
+        self.sums[bucket] = bucket_sum % SUM_MODULUS
         self.records[record.host] = record
         self.live_by_zone = None
         if record.live:
@@ -131,7 +131,7 @@
         """Return the buckets whose checksum differs from `sums`."""
         pairs = zip(self.sums, sums, strict=True)
         return frozenset(
-            bucket for bucket, (mine, its) in enumerate(pairs) if mine != its
+            bucket for bucket, (own, other) in enumerate(pairs) if own != other
         )
 
     def newer_than(
--- a/src/peridotpost/decisions/incarnations.py
+++ b/src/peridotpost/decisions/incarnations.py
@@ -27,21 +27,21 @@
         """Apply an announcement; return whether it changed anything."""
         if announcement.born_ms <= self.ended.get(announcement.instance, -1):
             return False
-        known = self.current
-        if known is not None and not _newer(announcement, known):
+        current = self.current
+        if current is not None and not _is_newer(announcement, current):
             return False
         self.current = announcement
         if announcement.state is not instances.InstanceState.READY:
             self._record_end(announcement.instance, announcement.born_ms)
-        return known is None or _differs(announcement, known)
+        return current is None or _differs(announcement, current)
 
     def leave(self, instance: str, born_ms: int) -> bool:
         """Record that `instance` left; return whether it was the current."""
         self._record_end(instance, born_ms)
-        known = self.current
-        if known is None or known.instance != instance:
+        current = self.current
+        if current is None or current.instance != instance:
             return False
-        if known.born_ms > born_ms:
+        if current.born_ms > born_ms:
             return False
         self.current = None
         return True
@@ -52,26 +52,26 @@
             del self.ended[next(iter(self.ended))]
 
 
-def _newer(
-    announcement: instances.Announcement, known: instances.Announcement
+def _is_newer(
+    announcement: instances.Announcement, current: instances.Announcement
 ) -> bool:
-    if announcement.born_ms != known.born_ms:
-        return announcement.born_ms > known.born_ms
-    if announcement.instance != known.instance:
+    if announcement.born_ms != current.born_ms:
+        return announcement.born_ms > current.born_ms
+    if announcement.instance != current.instance:
         return True
-    return announcement.sequence > known.sequence
+    return announcement.sequence > current.sequence
 
 
 def _differs(
-    announcement: instances.Announcement, known: instances.Announcement
+    announcement: instances.Announcement, current: instances.Announcement
 ) -> bool:
     return (
-        announcement.instance != known.instance
-        or announcement.born_ms != known.born_ms
-        or announcement.service != known.service
-        or announcement.state is not known.state
-        or announcement.slots != known.slots
-        or announcement.version != known.version
+        announcement.instance != current.instance
+        or announcement.born_ms != current.born_ms
+        or announcement.service != current.service
+        or announcement.state is not current.state
+        or announcement.slots != current.slots
+        or announcement.version != current.version
         or (announcement.address, announcement.port)
-        != (known.address, known.port)
+        != (current.address, current.port)
     )
--- a/src/peridotpost/decisions/logbudget.py
+++ b/src/peridotpost/decisions/logbudget.py
@@ -44,8 +44,8 @@
         :param now: seconds of a clock that may jump; a step back adds no
             tokens.
         """
-        grown = self.tokens + max(0.0, now - self.filled_at) * LINES_PER_S
-        self.tokens = min(BURST_LINES, grown)
+        refilled = self.tokens + max(0.0, now - self.filled_at) * LINES_PER_S
+        self.tokens = min(BURST_LINES, refilled)
         self.filled_at = now
         if self.tokens < max(1.0, weight.value * BURST_LINES):
             return False
--- a/src/peridotpost/decisions/observer.py
+++ b/src/peridotpost/decisions/observer.py
@@ -56,33 +56,35 @@
         this observer itself found silent, and the next of the round.
         """
         expired = self.suspicions.expired(now)[: suspicion.MAX_FINAL_PROBES]
-        own = [one for one in self.suspicions.own() if one not in expired]
-        count = min(len(own), suspicion.MAX_REPROBES)
-        again = self.randomness.sample(own, count)
-        chosen = dict.fromkeys([*expired, *again])
-        following = self.round.next_subject(candidates)
-        if following is not None:
-            chosen[following] = None
+        found_silent = [
+            one for one in self.suspicions.own() if one not in expired
+        ]
+        count = min(len(found_silent), suspicion.MAX_REPROBES)
+        reprobed = self.randomness.sample(found_silent, count)
+        chosen = dict.fromkeys([*expired, *reprobed])
+        next_in_round = self.round.next_subject(candidates)
+        if next_in_round is not None:
+            chosen[next_in_round] = None
         return list(chosen)
 
     def judge(
-        self, record: members.MemberRecord, evidence: ProbeResult, now: float
+        self, record: members.MemberRecord, probe: ProbeResult, now: float
     ) -> Verdict:
         """Return the conclusion from a probe of `record`'s host."""
-        if evidence.answered:
+        if probe.answered:
             self.suspicions.record_answer(record.host, now)
             return Verdict.ALIVE
-        if evidence.observer_paused:
+        if probe.observer_paused:
             return Verdict.UNCLEAR
-        if evidence.helpers and not evidence.helpers_heard:
+        if probe.helpers and not probe.helpers_heard:
             # No helper was heard either: the fault is most likely on this
             # side, and suspects cannot reach this observer to refute.
             self.suspicions.restart(now)
             return Verdict.ISOLATED
-        due = self.suspicions.due(record.host, now)
+        expired = self.suspicions.due(record.host, now)
         self.suspicions.record_silence(record, now)
         if record.status is members.Status.ALIVE:
             return Verdict.SUSPECTED
-        if record.status is members.Status.SUSPECT and due:
+        if record.status is members.Status.SUSPECT and expired:
             return Verdict.DEAD
         return Verdict.STILL_SILENT
--- a/src/peridotpost/decisions/pacing.py
+++ b/src/peridotpost/decisions/pacing.py
@@ -73,8 +73,8 @@
 
     def admit(self, now: float) -> float:
         """Return 0 to admit, else the seconds after which to retry."""
-        gained = (now - self.now) * self.rate
-        self.tokens = min(self.burst, self.tokens + gained)
+        refill = (now - self.now) * self.rate
+        self.tokens = min(self.burst, self.tokens + refill)
         self.now = now
         if self.tokens >= 1:
             self.tokens -= 1
@@ -123,14 +123,14 @@
 
     def ended(self, peer: str, now: float, lifetime_s: float) -> None:
         """Record that a dial failed or a stream ended."""
-        past = self._history_of(peer)
+        history = self._history_of(peer)
         if lifetime_s >= STABLE_STREAM_S:
-            past.backoff.reset()
-        past.retry_at = now + past.backoff.next_delay()
+            history.backoff.reset()
+        history.retry_at = now + history.backoff.next_delay()
 
     def refused(self, peer: str, now: float, retry_after_s: float) -> None:
-        spread = self.randomness.uniform(1, 1.25)
-        self._history_of(peer).retry_at = now + retry_after_s * spread
+        jitter = self.randomness.uniform(1, 1.25)
+        self._history_of(peer).retry_at = now + retry_after_s * jitter
 
     def keep_only(self, candidates: Sequence[str]) -> None:
         """Forget peers that are no longer candidates."""
--- a/src/peridotpost/decisions/poison.py
+++ b/src/peridotpost/decisions/poison.py
@@ -99,10 +99,12 @@
             suspect.crashed.add(event)
             suspect.crashes += 1
             suspect.last = now
-            over = suspect.crashes - MAX_CRASHES
-            if over >= 0:
-                pause = min(MAX_REFUSAL_S, BASE_REFUSAL_S * 2 ** min(over, 8))
-                suspect.refused_until = now + pause
+            excess = suspect.crashes - MAX_CRASHES
+            if excess >= 0:
+                refusal_s = min(
+                    MAX_REFUSAL_S, BASE_REFUSAL_S * 2 ** min(excess, 8)
+                )
+                suspect.refused_until = now + refusal_s
 
     def answered(self, call: calls.Call) -> None:
         """Clear a request that a target answered.
--- a/src/peridotpost/decisions/rollout.py
+++ b/src/peridotpost/decisions/rollout.py
@@ -52,16 +52,18 @@
     availability_zone: str, live: int, reports: Iterable[RelayWord]
 ) -> ZoneRollout:
     """Return the most complete report about one availability zone."""
-    mine = [w for w in reports if w.availability_zone == availability_zone]
-    widest = max(
-        mine,
+    zone_reports = [
+        w for w in reports if w.availability_zone == availability_zone
+    ]
+    most_complete = max(
+        zone_reports,
         key=lambda word: (word.covers_zone, word.daemons),
         default=RelayWord(availability_zone, 0, 0, False),
     )
     return ZoneRollout(
         availability_zone,
         live,
-        widest.daemons,
-        widest.lowest_revision,
-        widest.covers_zone,
+        most_complete.daemons,
+        most_complete.lowest_revision,
+        most_complete.covers_zone,
     )
--- a/src/peridotpost/decisions/suspicion.py
+++ b/src/peridotpost/decisions/suspicion.py
@@ -56,29 +56,35 @@
 
     def next_subject(self, candidates: Collection[str]) -> str | None:
         """Return the next host to probe, None without candidates."""
-        known = set(candidates)
+        hosts = set(candidates)
         while self.pending:
             subject = self.pending.pop()
-            if subject in known:
+            if subject in hosts:
                 return subject
-        if not known:
+        if not hosts:
             return None
-        self.pending = sorted(known)
+        self.pending = sorted(hosts)
         self.randomness.shuffle(self.pending)
         return self.pending.pop()
 
     def helpers(
-        self, subject: str, near: Collection[str], far: Collection[str] = ()
+        self,
+        subject: str,
+        zone_hosts: Collection[str],
+        other_hosts: Collection[str] = (),
     ) -> list[str]:
         """Return the hosts to ask to probe `subject` as well.
 
-        :param near: hosts of the own zone.
-        :param far: hosts of other zones, used if `near` has too few.
+        :param zone_hosts: hosts of the own zone.
+        :param other_hosts: hosts of other zones, used if `zone_hosts` are too
+            few.
         """
-        chosen = self._sample(set(near) - {subject}, INDIRECT_PROBES)
-        lacking = INDIRECT_PROBES - len(chosen)
-        if lacking:
-            chosen += self._sample(set(far) - {subject, *chosen}, lacking)
+        chosen = self._sample(set(zone_hosts) - {subject}, INDIRECT_PROBES)
+        missing = INDIRECT_PROBES - len(chosen)
+        if missing:
+            chosen += self._sample(
+                set(other_hosts) - {subject, *chosen}, missing
+            )
         return chosen
 
     def _sample(self, hosts: set[str], count: int) -> list[str]:
@@ -134,35 +140,35 @@
         if record.status is not members.Status.SUSPECT:
             self.running.pop(record.host, None)
             return
-        held = self.running.get(record.host)
-        if held is None or held.incarnation != record.incarnation:
+        suspicion = self.running.get(record.host)
+        if suspicion is None or suspicion.incarnation != record.incarnation:
             self.running[record.host] = Suspicion(record.incarnation, now)
 
     def record_silence(self, record: members.MemberRecord, now: float) -> None:
         """Record that this observer and its helpers got no answer."""
-        held = self.running.get(record.host)
-        if held is None or held.incarnation != record.incarnation:
-            held = Suspicion(record.incarnation, now)
-            self.running[record.host] = held
-        held.silent_periods += 1
+        suspicion = self.running.get(record.host)
+        if suspicion is None or suspicion.incarnation != record.incarnation:
+            suspicion = Suspicion(record.incarnation, now)
+            self.running[record.host] = suspicion
+        suspicion.silent_periods += 1
 
     def record_answer(self, host: str, now: float) -> None:
         """Restart the suspicion: the host answers but has not refuted yet."""
-        held = self.running.get(host)
-        if held is not None:
-            held.since = now
-            held.silent_periods = 0
+        suspicion = self.running.get(host)
+        if suspicion is not None:
+            suspicion.since = now
+            suspicion.silent_periods = 0
 
     def restart(self, now: float) -> None:
         """Restart the time of all suspicions."""
-        for held in self.running.values():
-            held.since = now
+        for suspicion in self.running.values():
+            suspicion.since = now
 
     def due(self, host: str, now: float) -> bool:
-        held = self.running.get(host)
-        if held is None:
+        suspicion = self.running.get(host)
+        if suspicion is None:
             return False
-        return now - held.since >= held.lasts_s(self.suspicion_s)
+        return now - suspicion.since >= suspicion.lasts_s(self.suspicion_s)
 
     def expired(self, now: float) -> list[str]:
         """Return the hosts whose suspicion has expired, oldest first."""
@@ -171,7 +177,9 @@
 
     def own(self) -> list[str]:
         """Return the suspects that this observer itself found silent."""
-        return [h for h, held in self.running.items() if held.silent_periods]
+        return [
+            host for host, one in self.running.items() if one.silent_periods
+        ]
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/peridotpost/decisions/tables.py
+++ b/src/peridotpost/decisions/tables.py
@@ -54,13 +54,13 @@
         return self.table
 
     def _route(self, name: str, spec: config.ServiceSpec) -> routing.Route:
-        held = self.table.routes.get(name)
-        if held is None or name in self.stale:
+        cached = self.table.routes.get(name)
+        if cached is None or name in self.stale:
             hosts = self.hosting.get(name, {})
             return routing.route_over(spec, hosts.values())
-        if held.spec is spec:
-            return held
-        return routing.Route(spec, held.endpoints)
+        if cached.spec is spec:
+            return cached
+        return routing.Route(spec, cached.endpoints)
 
 
 def _services(record: members.MemberRecord | None) -> Iterable[str]:
--- a/src/peridotpost/decisions/tree.py
+++ b/src/peridotpost/decisions/tree.py
@@ -121,13 +121,13 @@
     If each relay chose for itself, both could choose the same one, and its
     death or freeze would cut the two zones off from each other.
     """
-    mine = relays_of(zone, {*zone_hosts, host})
-    own_index = mine.index(host) if host in mine else 0
+    own_relays = relays_of(zone, {*zone_hosts, host})
+    own_index = own_relays.index(host) if host in own_relays else 0
     return [
         peer
         for other in others
         if zone < other.zone and other.relays
-        for peer in _peers_for(other.relays, own_index, len(mine))
+        for peer in _peers_for(other.relays, own_index, len(own_relays))
     ]
 
 
--- a/src/peridotpost/decisions/versions.py
+++ b/src/peridotpost/decisions/versions.py
@@ -110,19 +110,19 @@
     :param wanted: the scope that the daemon needs now; `held` may not
         cover it yet.
     """
-    keep = held.version.revision
-    if update.revision < keep:
+    held_revision = held.version.revision
+    if update.revision < held_revision:
         return UpdateResult(Verdict.STALE, held)
-    satisfies = covers(update.scope, wanted)
-    if update.revision == keep:
-        grows = not covers(held.scope, wanted) and satisfies
-        if not (grows and update.whole):
+    covers_wanted = covers(update.scope, wanted)
+    if update.revision == held_revision:
+        extends_scope = not covers(held.scope, wanted) and covers_wanted
+        if not (extends_scope and update.whole):
             return UpdateResult(Verdict.STALE, held)
-    elif not satisfies and not covers(update.scope, held.scope):
+    elif not covers_wanted and not covers(update.scope, held.scope):
         # Cut for the daemon's scope before it grew: applying the update
         # would remove services that it already routes to.
         return UpdateResult(Verdict.NEED_WHOLE, held)
-    if not update.whole and update.base_revision != keep:
+    if not update.whole and update.base_revision != held_revision:
         return UpdateResult(Verdict.NEED_WHOLE, held)
     candidate = Holding(_apply(held.version, update), update.scope)
     if candidate.digest != update.digest:
--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -205,9 +205,9 @@
             self.counts.add('probe.misdirected')
             return
         self._offer(facts)
-        mine = self.fleet.record_of(self.host)
-        refuting = [mine] if facts and mine is not None else []
-        self._send_to(ACK, probe.nonce, self.host, address, refuting)
+        own_record = self.fleet.record_of(self.host)
+        answer_facts = [own_record] if facts and own_record is not None else []
+        self._send_to(ACK, probe.nonce, self.host, address, answer_facts)
 
     def _handle_request(
         self, probe: control_pb2.Probe, address: Address
--- a/src/peridotpost/membership/probing.py
+++ b/src/peridotpost/membership/probing.py
@@ -71,14 +71,14 @@
         await asyncio.gather(
             *(self._probe(subject, others) for subject in subjects)
         )
-        ended = self.clock.now()
+        ended_at = self.clock.now()
         if suspicion.wait_overran(
             pings.TIMEOUTS_PER_PROBE * self.timeout_s,
-            ended - now,
+            ended_at - now,
             self.period_s,
         ):
-            self._handle_own_pause(ended)
-        self.pause.reset(ended)
+            self._handle_own_pause(ended_at)
+        self.pause.reset(ended_at)
 
     def _handle_own_pause(self, now: float) -> None:
         self.counts.add('probe.own-pause')
@@ -92,11 +92,11 @@
         record = self.fleet.record_of(subject)
         if record is None:
             return
-        evidence = await self._probe_result(record, others)
+        result = await self._probe_result(record, others)
         latest = self.fleet.record_of(subject)
         if latest is None or latest.incarnation != record.incarnation:
             return
-        verdict = self.observer.judge(latest, evidence, self.clock.now())
+        verdict = self.observer.judge(latest, result, self.clock.now())
         self.counts.add(f'probe.{verdict.value}')
         if verdict is observers.Verdict.SUSPECTED:
             self.fleet.offer(suspicion.suspected(latest))
@@ -115,13 +115,15 @@
         far = [o.host for o in others if o.availability_zone != self.zone]
         helpers = self.observer.round.helpers(record.host, near, far)
         answered, heard = await self.pings.ping_via(record, helpers)
-        took = self.clock.now() - started
+        elapsed_s = self.clock.now() - started
         return observers.ProbeResult(
             answered,
             len(helpers),
             heard,
             suspicion.wait_overran(
-                pings.TIMEOUTS_PER_PROBE * self.timeout_s, took, self.period_s
+                pings.TIMEOUTS_PER_PROBE * self.timeout_s,
+                elapsed_s,
+                self.period_s,
             ),
         )
 
--- a/src/peridotpost/membership/seeds.py
+++ b/src/peridotpost/membership/seeds.py
@@ -133,38 +133,38 @@
         hosts = [key.removeprefix(prefix) for key in existing]
         if not rules.is_due(record.host, zone, zone_hosts, hosts):
             return
-        mine = seed_of(record)
+        own_seed = seed_of(record)
         current = existing.get(f'{prefix}{record.host}')
-        if current is not None and not self._may_replace(current, mine):
+        if current is not None and not self._may_replace(current, own_seed):
             return
-        await self._swap(f'{prefix}{record.host}', current, mine)
+        await self._swap(f'{prefix}{record.host}', current, own_seed)
 
-    def _may_replace(self, current: store.KeyValue, mine: Seed) -> bool:
+    def _may_replace(self, current: store.KeyValue, own_seed: Seed) -> bool:
         """Whether the existing record may be overwritten.
 
         Otherwise a process that was paused while its host started a new one
         would take the key from the new one, and the two would overwrite
         each other in turn.
         """
-        read = read_seed(current)
-        if isinstance(read, result.Err):
+        decoded = read_seed(current)
+        if isinstance(decoded, result.Err):
             return True
-        if read.ok_value == mine and current.lease:
+        if decoded.ok_value == own_seed and current.lease:
             # An earlier write took effect, but its answer was lost.
             self.lease = current.lease
             return False
-        if read.ok_value.incarnation > mine.incarnation:
+        if decoded.ok_value.incarnation > own_seed.incarnation:
             self.counts.add('seeds.superseded')
             return False
         return True
 
     async def _swap(
-        self, key: str, current: store.KeyValue | None, mine: Seed
+        self, key: str, current: store.KeyValue | None, own_seed: Seed
     ) -> None:
         granted = await self.platform.grant(self.ttl_s)
         if isinstance(granted, result.Err):
             return
-        value = json.dumps(dataclasses.asdict(mine)).encode()
+        value = json.dumps(dataclasses.asdict(own_seed)).encode()
         swapped = await self.platform.swap(
             key,
             current.revision if current else 0,
