--- a/src/peridotpost/decisions/fleet.py
+++ b/src/peridotpost/decisions/fleet.py
@@ -92,15 +92,15 @@
 
     def forget(self, now: float) -> list[str]:
         """Drop members departed for over TOMBSTONE_S; return their hosts."""
-        gone = [
+        forgotten = [
             host
             for host, at in self.departed_at.items()
             if now - at > TOMBSTONE_S
         ]
-        for host in gone:
+        for host in forgotten:
             del self.departed_at[host]
             del self.records[host]
-        return gone
+        return forgotten
 
     def live(self) -> Iterator[members.MemberRecord]:
         return itertools.chain.from_iterable(self.by_zone().values())
--- a/src/peridotpost/decisions/rollout.py
+++ b/src/peridotpost/decisions/rollout.py
@@ -53,11 +53,11 @@
 ) -> ZoneRollout:
     """Return the most complete report about one availability zone."""
     zone_reports = [
-        w for w in reports if w.availability_zone == availability_zone
+        one for one in reports if one.availability_zone == availability_zone
     ]
     most_complete = max(
         zone_reports,
-        key=lambda word: (word.covers_zone, word.daemons),
+        key=lambda report: (report.covers_zone, report.daemons),
         default=RelayWord(availability_zone, 0, 0, False),
     )
     return ZoneRollout(
--- a/src/peridotpost/decisions/tables.py
+++ b/src/peridotpost/decisions/tables.py
@@ -3,7 +3,7 @@
 Each start, stop, suspicion or drain among 5,200 daemons changes the table,
 and calls need it on the same event loop.  Compiling it in full on each
 change would delay the next call by 17 to 35 ms (``bench.capacity``), so
-only the routes of services hosted by the changed member are compiled anew
+only the routes of services hosted by the changed member are recompiled
 and the others are reused.
 
 A table that was handed out is never modified; a new one replaces it.
--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -81,7 +81,7 @@
         self.timeout_s = timeout_s
         self.transport: asyncio.DatagramTransport | None = None
         self.waiting: dict[int, Expected] = {}
-        self.relayed: set[asyncio.Task[None]] = set()
+        self.relay_tasks: set[asyncio.Task[None]] = set()
 
     async def ping(self, record: members.MemberRecord) -> bool:
         """Whether a member answers a probe now."""
@@ -216,15 +216,15 @@
         if record is None or probe.subject == self.host:
             self.counts.add('probe.misdirected')
             return
-        if len(self.relayed) >= MAX_RELAYED_PROBES:
+        if len(self.relay_tasks) >= MAX_RELAYED_PROBES:
             self.counts.add('probe.relay-refused')
             return
         self._send_to(RECEIVED, probe.nonce, probe.subject, address, [])
         task = asyncio.ensure_future(
             self._probe_for(record, probe.nonce, address)
         )
-        self.relayed.add(task)
-        task.add_done_callback(self.relayed.discard)
+        self.relay_tasks.add(task)
+        task.add_done_callback(self.relay_tasks.discard)
 
     async def _probe_for(
         self, record: members.MemberRecord, nonce: int, address: Address
--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -25,7 +25,7 @@
             0, 48, 0, asking.MAX_OTHER_ZONE_PEERS, id='alone in its zone'
         ),
         pytest.param(0, 48, 1, 0, id='alone, and asked'),
-        pytest.param(0, 0, 0, 0, id='nobody'),
+        pytest.param(0, 0, 0, 0, id='no-peers'),
     ],
 )
 def test_only_a_few_peers_of_the_own_zone_are_asked(
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -75,8 +75,8 @@
     slow.heard('fast', SILENCE_NOTICED_S)
     slow.lost('fast')
     acknowledged = SILENCE_NOTICED_S - following.BEAT_S / 2
-    looks = [step * following.BEAT_S for step in range(10)]
-    read_at = next(at for at in looks if slow.reads_now(at))
+    checks = [step * following.BEAT_S for step in range(10)]
+    read_at = next(at for at in checks if slow.reads_now(at))
     assert read_at <= acknowledged + IN_FORCE_S
 
 
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -205,28 +205,28 @@
     one.wait_ready()
     one.wait_in_force(one.accept(zone_text))
     one.wait_targets(4)
-    *others, frozen = one.plan.hosts
+    *others, paused = one.plan.hosts
     service = others[0].service
-    assert frozen.service == service
-    name = f'daemon-{frozen.host}'
+    assert paused.service == service
+    name = f'daemon-{paused.host}'
     before = {h.host: member(one, others[0], h.host) for h in one.plan.hosts}
     one.signal(name, signal.SIGSTOP)
-    wait_all_see(one, others, frozen.host, 'dead')
+    wait_all_see(one, others, paused.host, 'dead')
     one.wait_targets(3, tuple(others))
     for host in others:
         assert processes.call(host, service).status == 200
     one.signal(name, signal.SIGCONT)
-    wait_all_see(one, list(one.plan.hosts), frozen.host, 'alive')
+    wait_all_see(one, list(one.plan.hosts), paused.host, 'alive')
     one.wait_targets(4)
-    assert counter(frozen, 'probe.declared-dead') == 0
-    assert counter(frozen, 'probe.own-pause') > 0
+    assert counter(paused, 'probe.declared-dead') == 0
+    assert counter(paused, 'probe.own-pause') > 0
     for host in others:
-        after = member(one, frozen, host.host)
+        after = member(one, paused, host.host)
         assert after['status'] == 'alive'
         assert counter(host, 'probe.declared-dead') <= 1
-    back = member(one, others[0], frozen.host)
-    assert back['incarnation'] > before[frozen.host]['incarnation']
-    assert processes.call(frozen, service).status == 200
+    back = member(one, others[0], paused.host)
+    assert back['incarnation'] > before[paused.host]['incarnation']
+    assert processes.call(paused, service).status == 200
 
 
 @contextlib.contextmanager
@@ -252,10 +252,12 @@
             sending.result()
 
 
-def started_work(leaving: str, gone: mesh.PlannedHost, port: int) -> int:
-    """Count the requests started on `gone`, by the process that stays."""
+def started_work(
+    leaving: str, leaving_host: mesh.PlannedHost, port: int
+) -> int:
+    """Count requests started on `leaving_host`, by the process that stays."""
     if leaving == 'target':
-        page = processes.get_json(f'http://{gone.admin}/v1/timeline')
+        page = processes.get_json(f'http://{leaving_host.admin}/v1/timeline')
         kinds = [event['kind'] for event in page['events']]
         return kinds.count('call.dispatched')
     return started_requests(port)
@@ -273,7 +275,7 @@
 def test_leaving_one_gets_no_new_work_and_finishes_its_own(
     leaving: str, running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # A target or its daemon is told to stop while it runs a long request
+    # A target or its daemon is asked to stop while it runs a long request
     # and callers send continuously.  All requests must get complete answers,
     # and once all daemons know of the stop, no new one may be sent there.
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
@@ -281,11 +283,11 @@
     one.wait_ready()
     one.wait_in_force(one.accept(text))
     one.wait_targets(4)
-    ingress, gone = one.plan.hosts[0], one.plan.hosts[3]
+    ingress, leaving_host = one.plan.hosts[0], one.plan.hosts[3]
     service = ingress.service
-    assert gone.service == service
+    assert leaving_host.service == service
     others = one.plan.hosts[:3]
-    port = target_port(one, f'target-{gone.host}')
+    port = target_port(one, f'target-{leaving_host.host}')
     near = target_port(one, f'target-{ingress.host}')
     call = functools.partial(processes.call, ingress, service, path='/long')
     long = {'Standin-Work-Ms': str(LONG_MS)}
@@ -301,32 +303,32 @@
             'both targets run long requests',
         )
         with calling(ingress, service) as answers:
-            one.signal(f'{leaving}-{gone.host}', signal.SIGTERM)
+            one.signal(f'{leaving}-{leaving_host.host}', signal.SIGTERM)
             one.wait_targets(3, others)
             answers_before = len(answers)
             # Wait for the call that was in flight at that moment.
             one.wait(
                 lambda: len(answers) > answers_before + 1, 'that call ends'
             )
-            started_before = started_work(leaving, gone, port)
+            started_before = started_work(leaving, leaving_host, port)
             one.wait(lambda: len(answers) > answers_before + 50, 'more calls')
-            assert started_work(leaving, gone, port) == started_before
+            assert started_work(leaving, leaving_host, port) == started_before
         ended = [future.result() for future in pending]
     check_whole(answers)
     for answer in ended:
         assert answer.status == 200, answer.body
         assert json.loads(answer.body)['path'] == '/long'
-    process = one.started.pop(f'{leaving}-{gone.host}')
+    process = one.started.pop(f'{leaving}-{leaving_host.host}')
     assert process.wait(processes.STOP_S) == 0
     if leaving == 'daemon':
-        wait_all_see(one, list(others), gone.host, 'left')
+        wait_all_see(one, list(others), leaving_host.host, 'left')
 
 
 @pytest.mark.processes
 def test_leaving_ingress_delivers_pending_answers(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # The daemon that received callers' long requests is told to stop while
+    # The daemon that received callers' long requests is asked to stop while
     # the requests run on another host.
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
     one = running_mesh(text, hosts_per_zone=2, settings=FAST)
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -160,10 +160,10 @@
     # and answers none.  Calls are sent there until it is declared dead.
     zone = Zone(ZONE, loss, seed=11)
     zone.run(3)
-    gone = set(list(zone.records)[100 : 100 + lost])
-    zone.down = gone
+    failed = set(list(zone.records)[100 : 100 + lost])
+    zone.down = failed
     zone.run(rounds)
-    assert set(zone.dead_after) == gone
+    assert set(zone.dead_after) == failed
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
@@ -210,16 +210,16 @@
     # The only observer that found the silence dies before the suspicion
     # ends.  The others only received it, and must act after a longer wait.
     zone = Zone(60, 0.0, seed=7)
-    gone, finder = 'h0001', 'h0002'
-    zone.down = {gone}
-    zone.probe(finder, gone, zone.records)
-    assert zone.suspected == [gone]
-    zone.down |= {finder}
+    failed, first_observer = 'h0001', 'h0002'
+    zone.down = {failed}
+    zone.probe(first_observer, failed, zone.records)
+    assert zone.suspected == [failed]
+    zone.down |= {first_observer}
     others = [one for one in zone.records if one not in zone.down]
     for host in others:
         zone.observers[host].round.pending = [others[0]] * 12
     zone.run(9)
-    assert gone in zone.dead_after
+    assert failed in zone.dead_after
 
 
 @pytest.mark.parametrize(
@@ -534,8 +534,8 @@
         prober.pings.received(ping.SerializeToString(), SUBJECT)
         answer, to = sent.datagrams[-1]
     assert (answer.kind, answer.nonce, to) == (pings.ACK, 5, SUBJECT)
-    told = wire.member_from_wire(answer.facts[0])
-    assert (told.status, told.incarnation) == (ALIVE, 2)
+    refutation = wire.member_from_wire(answer.facts[0])
+    assert (refutation.status, refutation.incarnation) == (ALIVE, 2)
 
 
 async def test_helper_confirms_requests_and_bounds_a_flood(
@@ -557,7 +557,7 @@
         )
         assert kinds.count((pings.PING, SUBJECT)) == pings.MAX_RELAYED_PROBES
         assert counts.totals['probe.relay-refused'] == 5
-        for task in tuple(prober.pings.relayed):
+        for task in tuple(prober.pings.relay_tasks):
             task.cancel()
 
 
@@ -577,10 +577,10 @@
     heard: members.MemberRecord, refutes: bool
 ) -> None:
     myself = own.Myself(record_of('me'))
-    told: list[members.MemberRecord] = []
-    myself.changed.subscribe(told.append)
+    published: list[members.MemberRecord] = []
+    myself.changed.subscribe(published.append)
     myself.refute(heard)
-    assert bool(told) is refutes
+    assert bool(published) is refutes
     if refutes:
-        assert told[0].mark > heard.mark
-        assert told[0].status is ALIVE
+        assert published[0].mark > heard.mark
+        assert published[0].status is ALIVE
--- a/testing/test_tables.py
+++ b/testing/test_tables.py
@@ -52,7 +52,7 @@
 def test_incremental_table_equals_the_compiled_one(
     randomness: random.Random,
 ) -> None:
-    kept = tables.TableCompiler()
+    compiler = tables.TableCompiler()
     fleet = fleets.Fleet()
     version = config.NO_CONFIG
     for step in range(2000):
@@ -61,10 +61,10 @@
         record = record_of(step, randomness)
         before = fleet.records.get(record.host)
         assert fleet.merge(record, 0.0)
-        kept.member_changed(before, record)
+        compiler.member_changed(before, record)
         if randomness.random() < 0.5:
             whole = routing.compile_table(version, fleet.live())
-            assert kept.current(version) == whole
+            assert compiler.current(version) == whole
 
 
 def test_change_of_one_member_keeps_other_routes(
@@ -72,7 +72,7 @@
 ) -> None:
     version = version_of(1, randomness)
     first, second = version.services
-    kept = tables.TableCompiler()
+    compiler = tables.TableCompiler()
     base = record_of(1, random.Random(1))
     record = members.MemberRecord(
         'h',
@@ -83,9 +83,9 @@
         *('10.0.0.1', 1, 2, 3, 4),
         (members.TargetRecord(first, 't', members.TargetState.READY, 1),),
     )
-    kept.member_changed(None, base)
-    before = kept.current(version)
-    kept.member_changed(None, record)
-    after = kept.current(version)
+    compiler.member_changed(None, base)
+    before = compiler.current(version)
+    compiler.member_changed(None, record)
+    after = compiler.current(version)
     assert after.routes[second] is before.routes[second]
     assert after.routes[first] is not before.routes[first]
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -35,7 +35,7 @@
         pytest.param(1, 0, id='one'),
         pytest.param(2, 0, id='relays-only'),
         pytest.param(34, 1, id='two-full-relays'),
-        pytest.param(35, 2, id='first-middle-parents'),
+        pytest.param(35, 2, id='first-intermediate-parents'),
         pytest.param(473, 2, id='zone-of-the-required-size'),
         pytest.param(600, 2, id='larger-zone'),
     ],
@@ -60,7 +60,7 @@
     [
         pytest.param(0, id='first-relay-leaves'),
         pytest.param(1, id='second-relay-leaves'),
-        pytest.param(2, id='middle-parent-leaves'),
+        pytest.param(2, id='intermediate-parent-leaves'),
         pytest.param(472, id='leaf-leaves'),
     ],
 )
@@ -71,9 +71,9 @@
     zone, size = ZONES[0], FLEET // len(ZONES) + 1
     hosts = hosts_of(zone, size)
     order = tree.ranked(zone, hosts)
-    gone = order[position]
+    removed = order[position]
     before = places(zone, hosts)
-    after = places(zone, tuple(host for host in hosts if host != gone))
+    after = places(zone, tuple(host for host in hosts if host != removed))
     moved = [
         host
         for host in after
