--- a/src/peridotpost/membership/seeds.py
+++ b/src/peridotpost/membership/seeds.py
@@ -108,7 +108,7 @@
     async def _renew(self) -> bool:
         """Renew the lease; return False if it has lapsed.
 
-        It lapses when the process is paused.  Without an answer from the
+        It may lapse while the process is paused.  Without an answer from the
         store the lease is assumed to hold.
         """
         renewed = await self.platform.keep_alive(self.lease)
