--- a/src/peridotpost/decisions/incarnations.py
+++ b/src/peridotpost/decisions/incarnations.py
@@ -1,77 +1,77 @@
-"""Which announcement of a target counts.
+"""Which announcement of a target takes effect.
 
-Failure: announcements may come seconds late, or once more.  A late
-``ready`` after a drain was acknowledged would send work to a target that
-ends; a late word of a dead incarnation would revive its address, which
-may serve another by then.
+Announcements may arrive seconds late or twice.  A late ``ready`` after an
+acknowledged drain would send work to a target that is shutting down; a late
+announcement of an ended incarnation would bring back its address, which may
+belong to another target by then.
 
-Incarnations are ordered by their start, announcements of one by their
-sequence number.  A target that said it drains or is gone never becomes
-ready again under the same incarnation.
+Incarnations are ordered by their start time, announcements of one
+incarnation by their sequence number.  A target that announced that it is
+draining or gone never becomes ready again in the same incarnation.
 """
 
 from peridotpost.model import instances
 
-GONE_MEMORY = 64
-"""Ended incarnations remembered, by id; a host's target is replaced a few
-times an hour at most."""
+MAX_ENDED_INSTANCES = 64
+"""A host's target is replaced a few times an hour at most."""
 
 
 class InstanceLog:
-    """The target of this host, as told by its announcements."""
+    """The state of this host's target, from its announcements."""
 
     def __init__(self) -> None:
         self.current: instances.Announcement | None = None
         self.ended: dict[str, int] = {}
 
-    def offer(self, told: instances.Announcement) -> bool:
-        """Take an announcement; return whether it changed anything."""
-        if told.born_ms <= self.ended.get(told.instance, -1):
+    def offer(self, announcement: instances.Announcement) -> bool:
+        """Apply an announcement; return whether it changed anything."""
+        if announcement.born_ms <= self.ended.get(announcement.instance, -1):
             return False
-        known = self.current
-        if known is not None and not _newer(told, known):
+        current = self.current
+        if current is not None and not _is_newer(announcement, current):
             return False
-        self.current = told
-        if told.state is not instances.InstanceState.READY:
-            self._note_end(told.instance, told.born_ms)
-        return known is None or _differs(told, known)
+        self.current = announcement
+        if announcement.state is not instances.InstanceState.READY:
+            self._record_end(announcement.instance, announcement.born_ms)
+        return current is None or _differs(announcement, current)
 
     def leave(self, instance: str, born_ms: int) -> bool:
-        """Note that `instance` leaves; return whether it was the current."""
-        self._note_end(instance, born_ms)
-        known = self.current
-        if known is None or known.instance != instance:
+        """Record that `instance` left; return whether it was the current."""
+        self._record_end(instance, born_ms)
+        current = self.current
+        if current is None or current.instance != instance:
             return False
-        if known.born_ms > born_ms:
+        if current.born_ms > born_ms:
             return False
         self.current = None
         return True
 
-    def _note_end(self, instance: str, born_ms: int) -> None:
+    def _record_end(self, instance: str, born_ms: int) -> None:
         self.ended[instance] = max(born_ms, self.ended.get(instance, 0))
-        while len(self.ended) > GONE_MEMORY:
+        while len(self.ended) > MAX_ENDED_INSTANCES:
             del self.ended[next(iter(self.ended))]
 
 
-def _newer(
-    told: instances.Announcement, known: instances.Announcement
+def _is_newer(
+    announcement: instances.Announcement, current: instances.Announcement
 ) -> bool:
-    if told.born_ms != known.born_ms:
-        return told.born_ms > known.born_ms
-    if told.instance != known.instance:
+    if announcement.born_ms != current.born_ms:
+        return announcement.born_ms > current.born_ms
+    if announcement.instance != current.instance:
         return True
-    return told.sequence > known.sequence
+    return announcement.sequence > current.sequence
 
 
 def _differs(
-    told: instances.Announcement, known: instances.Announcement
+    announcement: instances.Announcement, current: instances.Announcement
 ) -> bool:
     return (
-        told.instance != known.instance
-        or told.born_ms != known.born_ms
-        or told.service != known.service
-        or told.state is not known.state
-        or told.slots != known.slots
-        or told.version != known.version
-        or (told.address, told.port) != (known.address, known.port)
+        announcement.instance != current.instance
+        or announcement.born_ms != current.born_ms
+        or announcement.service != current.service
+        or announcement.state is not current.state
+        or announcement.slots != current.slots
+        or announcement.version != current.version
+        or (announcement.address, announcement.port)
+        != (current.address, current.port)
     )
--- a/src/peridotpost/decisions/observer.py
+++ b/src/peridotpost/decisions/observer.py
@@ -1,8 +1,8 @@
-"""What one daemon concludes of others from its probes.
+"""What one daemon concludes about other members from its probes.
 
-The rules and their grounds are those of ``decisions.suspicion``; here they
-are put together for one observer, so that a zone of thousands runs in one
-process against any table of losses.
+Applies the rules of ``decisions.suspicion`` for a single observer, without
+I/O, so that a test can run thousands of observers in one process with
+simulated packet loss.
 """
 
 from collections.abc import Collection
@@ -15,23 +15,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Evidence:
-    """How a probe of one member went.
+class ProbeResult:
+    """The result of probing one member.
 
     :param answered: the member answered, directly or through a helper.
-    :param helpers: how many were asked to probe it too.
-    :param helpers_heard: how many said that they were asked.
-    :param overslept: the observer was paused while it waited.
+    :param helpers: number of helpers asked to probe it as well.
+    :param helpers_heard: number of helpers that confirmed the request.
+    :param observer_paused: this process was paused while it waited.
     """
 
     answered: bool
     helpers: int = 0
     helpers_heard: int = 0
-    overslept: bool = False
+    observer_paused: bool = False
 
 
 class Verdict(enum.Enum):
-    """What follows from a probe."""
+    """The conclusion from a probe; values are names of counters."""
 
     ALIVE = 'alive'
     UNCLEAR = 'unclear'
@@ -42,7 +42,7 @@
 
 
 class Observer:
-    """One daemon's view of who answers."""
+    """One daemon's view of which members answer."""
 
     def __init__(self, randomness: random.Random, suspicion_s: float) -> None:
         self.randomness = randomness
@@ -50,39 +50,41 @@
         self.suspicions = suspicion.Suspicions(suspicion_s)
 
     def subjects(self, candidates: Collection[str], now: float) -> list[str]:
-        """Return whom to probe in this period, each once.
+        """Return the hosts to probe in this period, without duplicates.
 
-        Next in the round, suspects whose time is over, and some of those
-        that this observer itself found silent.
+        These are suspects whose suspicion expired, a sample of those that
+        this observer itself found silent, and the next of the round.
         """
-        expired = self.suspicions.expired(now)[: suspicion.LAST_PROBES]
-        own = [one for one in self.suspicions.own() if one not in expired]
-        count = min(len(own), suspicion.FOLLOW_UPS)
-        again = self.randomness.sample(own, count)
-        chosen = dict.fromkeys([*expired, *again])
-        following = self.round.next_subject(candidates)
-        if following is not None:
-            chosen[following] = None
+        expired = self.suspicions.expired(now)[: suspicion.MAX_FINAL_PROBES]
+        found_silent = [
+            one for one in self.suspicions.own() if one not in expired
+        ]
+        count = min(len(found_silent), suspicion.MAX_REPROBES)
+        reprobed = self.randomness.sample(found_silent, count)
+        chosen = dict.fromkeys([*expired, *reprobed])
+        next_in_round = self.round.next_subject(candidates)
+        if next_in_round is not None:
+            chosen[next_in_round] = None
         return list(chosen)
 
     def judge(
-        self, record: members.MemberRecord, evidence: Evidence, now: float
+        self, record: members.MemberRecord, probe: ProbeResult, now: float
     ) -> Verdict:
-        """Draw the conclusion from a probe of `record`'s host."""
-        if evidence.answered:
-            self.suspicions.found_alive(record.host, now)
+        """Return the conclusion from a probe of `record`'s host."""
+        if probe.answered:
+            self.suspicions.record_answer(record.host, now)
             return Verdict.ALIVE
-        if evidence.overslept:
+        if probe.observer_paused:
             return Verdict.UNCLEAR
-        if evidence.helpers and not evidence.helpers_heard:
-            # Not one of several others is heard: the fault is most likely
-            # here, and whoever is suspected cannot refute towards here.
+        if probe.helpers and not probe.helpers_heard:
+            # No helper was heard either: the fault is most likely on this
+            # side, and suspects cannot reach this observer to refute.
             self.suspicions.restart(now)
             return Verdict.ISOLATED
-        due = self.suspicions.due(record.host, now)
-        self.suspicions.found_silent(record, now)
+        expired = self.suspicions.due(record.host, now)
+        self.suspicions.record_silence(record, now)
         if record.status is members.Status.ALIVE:
             return Verdict.SUSPECTED
-        if record.status is members.Status.SUSPECT and due:
+        if record.status is members.Status.SUSPECT and expired:
             return Verdict.DEAD
         return Verdict.STILL_SILENT
--- a/src/peridotpost/decisions/pacing.py
+++ b/src/peridotpost/decisions/pacing.py
@@ -1,13 +1,13 @@
-"""How fast a daemon tries again, and how many may come at once.
+"""Retry delays, and limits on how many daemons may connect at once.
 
-Load pattern: a herd of daemons dies together and reconnects together, or
-the store comes back after an outage with all relays waiting.  Without
-spread the survivors would get every reconnect within one round trip, fail
-again, and meet the next synchronous wave.
+A large group of daemons may die and reconnect together, or the store may
+come back after an outage while all relays wait for it.  Without spreading,
+the survivors would get every reconnect within one round trip, fail again,
+and meet the next synchronized wave.
 
-Full jitter (uniform between nothing and the exponential bound) spreads a
-wave over the whole bound; the grounds are the usual ones: it is the only
-one of the common variants whose waves flatten on the first retry.
+Full jitter (uniform between zero and the exponential bound) spreads a wave
+over the whole bound; of the common variants it is the only one whose waves
+flatten with the first retry.
 """
 
 from collections.abc import Sequence
@@ -18,25 +18,31 @@
 CAP_S = 5.0
 JOINS_PER_S = 40
 JOIN_BURST = 16
-MAX_COME_BACK_S = 15.0
-"""A daemon without a parent still hears by reconciliation, about every
-10 s; sent away for much longer it would do better with any other one."""
-STOOD_S = 5.0
-"""A stream that stood this long was not refused in disguise."""
+MAX_RETRY_AFTER_S = 15.0
+"""A daemon without a parent is updated only by reconciliation, about every
+10 s; if it had to wait much longer, any other parent would serve it better."""
+STABLE_STREAM_S = 5.0
+"""A stream that lasted this long counts as a success; a parent may accept a
+stream only to drop it at once."""
 
 
 @dataclasses.dataclass(slots=True)
 class Backoff:
-    """Exponential back-off with full jitter; `base_s` and `cap_s` bound it."""
+    """Exponential back-off with full jitter.
+
+    The bound grows from `base_delay_s` up to `max_delay_s`.
+    """
 
     randomness: random.Random
     base_s: float = BASE_S
-    cap_s: float = CAP_S
+    max_delay_s: float = CAP_S
     failures: int = 0
 
     def next_delay(self) -> float:
-        """Return the seconds to wait after one more failure."""
-        bound = min(self.cap_s, self.base_s * 2 ** min(self.failures, 16))
+        """Count a failure; return the seconds to wait before the next try."""
+        bound = min(
+            self.max_delay_s, self.base_s * 2 ** min(self.failures, 16)
+        )
         self.failures += 1
         return self.randomness.uniform(0, bound)
 
@@ -46,17 +52,17 @@
 
 @dataclasses.dataclass(slots=True)
 class JoinLimit:
-    """Token bucket for new streams at a parent, with slots to come back.
+    """Token bucket for new streams at a parent, with retry slots.
 
-    A child that comes back with what it held costs its parent under a
-    millisecond, and 40 a second take in a zone's children in a second or
-    two.  A child that knows nobody costs 70 to 100 ms at 5,200 members
-    (``bench.capacity``): a herd of those takes a core of each parent for
-    as long as it lasts, one or two seconds for the 16 that it has.
+    A child that reconnects with its former state costs its parent under a
+    millisecond, and 40 a second admit a zone's children in a second or two.
+    A child without state costs 70 to 100 ms at 5,200 members
+    (``bench.capacity``): the 16 children of a parent, all of them new,
+    occupy one core for one or two seconds.
 
-    Each that is refused gets a later slot than the one before.  With one
-    and the same time for all, a storm of 400 would come back as 400
-    within one token's time, and so on until it had died down by luck.
+    Each refused child gets a later slot than the one before.  If all were
+    given the same time, a wave of 400 would return as 400 within the time
+    of one token, again and again.
     """
 
     now: float
@@ -66,73 +72,73 @@
     slot: float = 0.0
 
     def admit(self, now: float) -> float:
-        """Return 0 to admit, else the seconds after which to come back."""
-        gained = (now - self.now) * self.rate
-        self.tokens = min(self.burst, self.tokens + gained)
+        """Return 0 to admit, else the seconds after which to retry."""
+        refill = (now - self.now) * self.rate
+        self.tokens = min(self.burst, self.tokens + refill)
         self.now = now
         if self.tokens >= 1:
             self.tokens -= 1
             return 0.0
         earliest = now + (1 - self.tokens) / self.rate
         self.slot = max(self.slot + 1 / self.rate, earliest)
-        if self.slot > now + MAX_COME_BACK_S:
+        if self.slot > now + MAX_RETRY_AFTER_S:
             self.slot = earliest
         return self.slot - now
 
 
 @dataclasses.dataclass(slots=True)
-class PeerPast:
-    """How one parent answered so far."""
+class PeerHistory:
+    """The earlier failures and refusals of one parent."""
 
     backoff: Backoff
-    not_before: float = 0.0
+    retry_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class ParentChoice:
-    """Which parent to dial next, and how long to wait before.
+    """Chooses which parent to dial next, and after which delay.
 
-    Load pattern: a parent that is full, storming, dead or hung, with all
-    of its children looking for another.  Without a memory for each parent
-    a refused child would wait for the very one that refused it while the
-    next in its list stands free; and one that takes a stream and drops it
-    at once would be dialled without end.
+    A parent may be full, overloaded, dead or hung, and then all of its
+    children look for another.  Without a history for each parent a refused
+    child would wait for the parent that refused it while the next in its
+    list is free, and a parent that accepts streams and drops them at once
+    would be dialled in a tight loop.
 
-    A refusal is honoured to the millisecond, with up to a quarter more so
-    that those who were refused together do not come back together.
+    The delay given with a refusal is never shortened, and lengthened by up
+    to a quarter so that children refused together do not return together.
     """
 
     randomness: random.Random
-    past: dict[str, PeerPast] = dataclasses.field(default_factory=dict)
+    past: dict[str, PeerHistory] = dataclasses.field(default_factory=dict)
 
     def choose(
         self, candidates: Sequence[str], now: float
     ) -> tuple[str, float]:
-        """Return the peer to dial and the seconds to wait before that."""
+        """Return the peer to dial and the seconds to wait before dialling."""
         for peer in candidates:
-            if self._past(peer).not_before <= now:
+            if self._history_of(peer).retry_at <= now:
                 return peer, 0.0
-        peer = min(candidates, key=lambda one: self._past(one).not_before)
-        return peer, self._past(peer).not_before - now
+        peer = min(candidates, key=lambda one: self._history_of(one).retry_at)
+        return peer, self._history_of(peer).retry_at - now
 
-    def ended(self, peer: str, now: float, stood_s: float) -> None:
-        """Take note that a dial failed or a stream ended."""
-        past = self._past(peer)
-        if stood_s >= STOOD_S:
-            past.backoff.reset()
-        past.not_before = now + past.backoff.next_delay()
+    def ended(self, peer: str, now: float, lifetime_s: float) -> None:
+        """Record that a dial failed or a stream ended."""
+        history = self._history_of(peer)
+        if lifetime_s >= STABLE_STREAM_S:
+            history.backoff.reset()
+        history.retry_at = now + history.backoff.next_delay()
 
-    def refused(self, peer: str, now: float, come_back_s: float) -> None:
-        spread = self.randomness.uniform(1, 1.25)
-        self._past(peer).not_before = now + come_back_s * spread
+    def refused(self, peer: str, now: float, retry_after_s: float) -> None:
+        jitter = self.randomness.uniform(1, 1.25)
+        self._history_of(peer).retry_at = now + retry_after_s * jitter
 
     def keep_only(self, candidates: Sequence[str]) -> None:
-        """Forget peers that are no candidates any more."""
+        """Forget peers that are no longer candidates."""
         for peer in set(self.past) - set(candidates):
             del self.past[peer]
 
-    def _past(self, peer: str) -> PeerPast:
+    def _history_of(self, peer: str) -> PeerHistory:
         found = self.past.get(peer)
         if found is None:
-            found = self.past[peer] = PeerPast(Backoff(self.randomness))
+            found = self.past[peer] = PeerHistory(Backoff(self.randomness))
         return found
--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -1,4 +1,4 @@
-"""Pings over UDP: who is asked, who may answer, what an answer brings."""
+"""Probes over UDP: sending, relaying and answering them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,20 +21,20 @@
 ACK = 2
 PING_REQUEST = 3
 RECEIVED = 4
-"""A helper's word that it was asked, whatever the subject does: it shows
-that the prober itself is heard."""
+"""A helper's confirmation that it was asked, independent of the subject's
+answer: it shows that the prober's own datagrams arrive."""
 NONCE_BITS = 64
-PATIENCE = 3
-"""Timeouts in a probe: one of the subject, two of its helpers, whose own
-probe takes one."""
-MAX_RELAYED = 64
-"""Probes run for others at once; more are refused, so that a flood of
-requests costs no more than so many datagrams each timeout."""
+TIMEOUTS_PER_PROBE = 3
+"""One for the direct probe and two for the helpers, whose own probe takes
+one."""
+MAX_RELAYED_PROBES = 64
+"""Concurrent probes on behalf of others.  More are refused, which bounds the
+datagrams sent per timeout during a flood of requests."""
 Address = tuple[str, int]
 
 
 class Records(Protocol):
-    """What pings need of the replica."""
+    """The part of the replica that probes need."""
 
     def record_of(self, host: str) -> members.MemberRecord | None: ...
 
@@ -43,21 +43,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Expected:
-    """An answer that is waited for, and who alone may give it."""
+    """A probe waiting for its answer.
+
+    :param hosts_by_address: the only senders whose answers are accepted.
+    :param heard: hosts that answered or confirmed the request.
+    """
 
     subject: str
-    answerers: dict[Address, str]
+    hosts_by_address: dict[Address, str]
     answered: asyncio.Future[None]
     heard: set[str] = dataclasses.field(default_factory=set)
 
-    def given_by(self, probe: control_pb2.Probe, address: Address) -> bool:
-        """Whether an answer comes from whom it should, about whom."""
-        source = self.answerers.get(address)
+    def accepts(self, probe: control_pb2.Probe, address: Address) -> bool:
+        """Whether an answer has the expected sender and subject."""
+        source = self.hosts_by_address.get(address)
         return source == probe.source and probe.subject == self.subject
 
 
-class Pings:
-    """Sends and answers datagrams; judges nobody."""
+class ProbeEndpoint:
+    """Sends and answers probes; draws no conclusions from them."""
 
     encode: Callable[[members.MemberRecord], control_pb2.Member]
     decode: Callable[[control_pb2.Member], members.MemberRecord]
@@ -77,39 +81,43 @@
         self.timeout_s = timeout_s
         self.transport: asyncio.DatagramTransport | None = None
         self.waiting: dict[int, Expected] = {}
-        self.relayed: set[asyncio.Task[None]] = set()
+        self.relay_tasks: set[asyncio.Task[None]] = set()
 
     async def ping(self, record: members.MemberRecord) -> bool:
-        """Whether a member answers now."""
+        """Whether a member answers a probe now."""
         facts = []
         if record.status is members.Status.SUSPECT:
-            # The suspect hears of the suspicion with the probe itself, so
-            # that it can refute it even if its stream is what broke.
+            # The probe itself carries the suspicion, so that the suspect
+            # can refute it even if its streams are broken.
             facts = [record]
-        with self._expecting(record.host, [record]) as (nonce, expected):
+        with self._pending(record.host, [record]) as (nonce, expected):
             self._send(PING, nonce, record.host, record, facts)
-            return await self._answered(expected, self.timeout_s)
+            return await self._wait_for_answer(expected, self.timeout_s)
 
-    async def ping_through(
+    async def ping_via(
         self, record: members.MemberRecord, helpers: list[str]
     ) -> tuple[bool, int]:
-        """Ask `helpers`; return whether one got an answer, how many heard."""
+        """Probe through `helpers`.
+
+        Returns whether one of them got an answer, and how many confirmed
+        the request.
+        """
         found = [self.fleet.record_of(host) for host in helpers]
         asked = [one for one in found if one is not None]
-        with self._expecting(record.host, asked) as (nonce, expected):
+        with self._pending(record.host, asked) as (nonce, expected):
             for helper in asked:
                 self._send(PING_REQUEST, nonce, record.host, helper, [])
-            answered = await self._answered(
-                expected, (PATIENCE - 1) * self.timeout_s
+            answered = await self._wait_for_answer(
+                expected, (TIMEOUTS_PER_PROBE - 1) * self.timeout_s
             )
             return answered, len(expected.heard)
 
     @contextlib.contextmanager
-    def _expecting(
+    def _pending(
         self, subject: str, answerers: list[members.MemberRecord]
     ) -> Iterator[tuple[int, Expected]]:
-        # Numbers that can be guessed would let a stray or late datagram
-        # vouch for a dead member.
+        # With a guessable nonce a stray or late datagram could count as the
+        # answer of a dead member.
         nonce = self.randomness.getrandbits(NONCE_BITS)
         answered = asyncio.get_running_loop().create_future()
         expected = Expected(
@@ -123,7 +131,9 @@
         finally:
             del self.waiting[nonce]
 
-    async def _answered(self, expected: Expected, timeout_s: float) -> bool:
+    async def _wait_for_answer(
+        self, expected: Expected, timeout_s: float
+    ) -> bool:
         try:
             await asyncio.wait_for(expected.answered, timeout_s)
         except TimeoutError:
@@ -164,7 +174,7 @@
         self.transport.sendto(data, address)
 
     def received(self, data: bytes, address: Address) -> None:
-        """Answer or take in one datagram; what is unusable is counted."""
+        """Process one datagram; unusable ones are counted and dropped."""
         self.counts.add('probe.received-bytes', len(data))
         self.counts.add('probe.received-messages')
         probe = control_pb2.Probe()
@@ -175,46 +185,46 @@
             self.counts.add('probe.unreadable')
             return
         if probe.kind == PING:
-            self._take_ping(probe, facts, address)
+            self._handle_ping(probe, facts, address)
         elif probe.kind == PING_REQUEST:
-            self._take_request(probe, address)
+            self._handle_request(probe, address)
         elif probe.kind in (ACK, RECEIVED):
-            self._take_answer(probe, facts, address)
+            self._handle_answer(probe, facts, address)
         else:
             self.counts.add('probe.unreadable')
 
-    def _take_ping(
+    def _handle_ping(
         self,
         probe: control_pb2.Probe,
         facts: list[members.MemberRecord],
         address: Address,
     ) -> None:
         if probe.subject != self.host:
-            # A new daemon on the address of a dead one must not vouch for
-            # it, nor pass on what was meant for it.
+            # A new daemon on the address of a dead one must not answer for
+            # it, nor process the records that were meant for it.
             self.counts.add('probe.misdirected')
             return
         self._offer(facts)
-        mine = self.fleet.record_of(self.host)
-        refuting = [mine] if facts and mine is not None else []
-        self._send_to(ACK, probe.nonce, self.host, address, refuting)
+        own_record = self.fleet.record_of(self.host)
+        answer_facts = [own_record] if facts and own_record is not None else []
+        self._send_to(ACK, probe.nonce, self.host, address, answer_facts)
 
-    def _take_request(
+    def _handle_request(
         self, probe: control_pb2.Probe, address: Address
     ) -> None:
         record = self.fleet.record_of(probe.subject)
         if record is None or probe.subject == self.host:
             self.counts.add('probe.misdirected')
             return
-        if len(self.relayed) >= MAX_RELAYED:
+        if len(self.relay_tasks) >= MAX_RELAYED_PROBES:
             self.counts.add('probe.relay-refused')
             return
         self._send_to(RECEIVED, probe.nonce, probe.subject, address, [])
         task = asyncio.ensure_future(
             self._probe_for(record, probe.nonce, address)
         )
-        self.relayed.add(task)
-        task.add_done_callback(self.relayed.discard)
+        self.relay_tasks.add(task)
+        task.add_done_callback(self.relay_tasks.discard)
 
     async def _probe_for(
         self, record: members.MemberRecord, nonce: int, address: Address
@@ -224,7 +234,7 @@
             facts = [latest] if latest is not None else []
             self._send_to(ACK, nonce, record.host, address, facts)
 
-    def _take_answer(
+    def _handle_answer(
         self,
         probe: control_pb2.Probe,
         facts: list[members.MemberRecord],
@@ -234,7 +244,7 @@
         if expected is None:
             self.counts.add('probe.stale')
             return
-        if not expected.given_by(probe, address):
+        if not expected.accepts(probe, address):
             self.counts.add('probe.wrong-source')
             return
         expected.heard.add(probe.source)
@@ -249,7 +259,7 @@
 
 
 class _Protocol(asyncio.DatagramProtocol):
-    def __init__(self, pings: Pings) -> None:
+    def __init__(self, pings: ProbeEndpoint) -> None:
         self.pings = pings
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
@@ -261,7 +271,7 @@
 
 @contextlib.asynccontextmanager
 async def listening(
-    pings: Pings, address: str, port: int
+    pings: ProbeEndpoint, address: str, port: int
 ) -> AsyncIterator[int]:
     """Open the probe port and yield the one in use.
 
--- a/src/peridotpost/membership/probing.py
+++ b/src/peridotpost/membership/probing.py
@@ -1,4 +1,4 @@
-"""Whom to probe, and what follows, by the rules of ``decisions.observer``."""
+"""Runs the probes of each period and applies ``decisions.observer``."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Members(Protocol):
-    """What probing needs of the replica."""
+    """The part of the replica that the prober needs."""
 
     def record_of(self, host: str) -> members.MemberRecord | None: ...
 
@@ -25,7 +25,7 @@
 
 
 class Prober:
-    """Probes members each period, and answers probes."""
+    """Probes members each period and acts on the conclusions."""
 
     def __init__(
         self,
@@ -47,36 +47,40 @@
         self.period_s = period_s
         self.timeout_s = timeout_s
         self.observer = observers.Observer(randomness, suspicion_s)
-        self.pause = suspicion.PauseGuard(period_s, clock.now())
+        self.pause = suspicion.PauseDetector(period_s, clock.now())
         self.paused: list[Callable[[], None]] = []
-        self.pings = pings.Pings(host, fleet, counts, randomness, timeout_s)
+        self.pings = pings.ProbeEndpoint(
+            host, fleet, counts, randomness, timeout_s
+        )
 
     def observe(self, record: members.MemberRecord) -> None:
-        """Follow a member's status, whoever found it out."""
+        """Update the suspicions with a member's record from any source."""
         self.observer.suspicions.observe(record, self.clock.now())
 
     async def tick(self) -> None:
-        """Probe this period's members and draw the conclusions."""
+        """Probe the members due in this period and act on the results."""
         now = self.clock.now()
         if self.pause.paused(now):
-            # The first thing a thawed process sees is its own expired
-            # timers; acting on them would declare half the zone dead.
-            self._own_pause(now)
+            # After a pause all timers have expired; acting on them would
+            # declare half of the zone dead.
+            self._handle_own_pause(now)
             return
         others = [one for one in self.fleet.live() if one.host != self.host]
-        candidates = suspicion.probed_from(self.zone, others)
+        candidates = suspicion.hosts_to_probe(self.zone, others)
         subjects = self.observer.subjects(candidates, now)
         await asyncio.gather(
             *(self._probe(subject, others) for subject in subjects)
         )
-        ended = self.clock.now()
-        if suspicion.overslept(
-            pings.PATIENCE * self.timeout_s, ended - now, self.period_s
+        ended_at = self.clock.now()
+        if suspicion.wait_overran(
+            pings.TIMEOUTS_PER_PROBE * self.timeout_s,
+            ended_at - now,
+            self.period_s,
         ):
-            self._own_pause(ended)
-        self.pause.rested(ended)
+            self._handle_own_pause(ended_at)
+        self.pause.reset(ended_at)
 
-    def _own_pause(self, now: float) -> None:
+    def _handle_own_pause(self, now: float) -> None:
         self.counts.add('probe.own-pause')
         self.observer.suspicions.restart(now)
         for listener in self.paused:
@@ -88,43 +92,45 @@
         record = self.fleet.record_of(subject)
         if record is None:
             return
-        evidence = await self._evidence(record, others)
+        result = await self._probe_result(record, others)
         latest = self.fleet.record_of(subject)
         if latest is None or latest.incarnation != record.incarnation:
             return
-        verdict = self.observer.judge(latest, evidence, self.clock.now())
+        verdict = self.observer.judge(latest, result, self.clock.now())
         self.counts.add(f'probe.{verdict.value}')
         if verdict is observers.Verdict.SUSPECTED:
             self.fleet.offer(suspicion.suspected(latest))
         elif verdict is observers.Verdict.DEAD:
             self.fleet.offer(suspicion.dead(latest))
 
-    async def _evidence(
+    async def _probe_result(
         self,
         record: members.MemberRecord,
         others: list[members.MemberRecord],
-    ) -> observers.Evidence:
+    ) -> observers.ProbeResult:
         started = self.clock.now()
         if await self.pings.ping(record):
-            return observers.Evidence(answered=True)
+            return observers.ProbeResult(answered=True)
         near = [o.host for o in others if o.availability_zone == self.zone]
         far = [o.host for o in others if o.availability_zone != self.zone]
         helpers = self.observer.round.helpers(record.host, near, far)
-        answered, heard = await self.pings.ping_through(record, helpers)
-        took = self.clock.now() - started
-        return observers.Evidence(
+        answered, heard = await self.pings.ping_via(record, helpers)
+        elapsed_s = self.clock.now() - started
+        return observers.ProbeResult(
             answered,
             len(helpers),
             heard,
-            suspicion.overslept(
-                pings.PATIENCE * self.timeout_s, took, self.period_s
+            suspicion.wait_overran(
+                pings.TIMEOUTS_PER_PROBE * self.timeout_s,
+                elapsed_s,
+                self.period_s,
             ),
         )
 
     async def answers(self, host: str) -> bool:
-        """Whether `host` answers a probe just now; judges nothing.
+        """Whether `host` answers a probe now; its status is unaffected.
 
-        A host whose record has not come yet is taken to answer.
+        A host without a record yet is assumed to answer.
         """
         record = self.fleet.record_of(host)
         return record is None or await self.pings.ping(record)
--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -1,4 +1,4 @@
-"""Whom a daemon asks for the fleet while the store is out."""
+"""Which peers a daemon asks for the member list without the store."""
 
 import pytest
 
@@ -15,16 +15,20 @@
 @pytest.mark.parametrize(
     ('near', 'far', 'asked', 'wanted'),
     [
-        pytest.param(11, 48, 0, asking.ENOUGH, id='a few of the zone'),
+        pytest.param(
+            11, 48, 0, asking.MAX_SAME_ZONE_PEERS, id='a few of the zone'
+        ),
         pytest.param(11, 48, 3, 0, id='enough were asked'),
         pytest.param(11, 48, 1, 2, id='one answer may still come'),
         pytest.param(2, 48, 0, 2, id='a small zone'),
-        pytest.param(0, 48, 0, asking.ENOUGH_FAR, id='alone in its zone'),
+        pytest.param(
+            0, 48, 0, asking.MAX_OTHER_ZONE_PEERS, id='alone in its zone'
+        ),
         pytest.param(0, 48, 1, 0, id='alone, and asked'),
-        pytest.param(0, 0, 0, 0, id='nobody'),
+        pytest.param(0, 0, 0, 0, id='no-peers'),
     ],
 )
-def test_a_few_near_ones_are_asked(
+def test_only_a_few_peers_of_the_own_zone_are_asked(
     near: int, far: int, asked: int, wanted: int
 ) -> None:
     chosen = asking.to_ask(neighbours(near, far, asked))
@@ -33,10 +37,11 @@
 
 
 def test_an_outage_of_the_store_does_not_flood_slow_links() -> None:
-    """The store turns away a fleet of 60; all ask for the others.
+    """A fleet of 60 loses the store, and all hosts ask for the member list.
 
-    Asked on every stream, each host got the list 118 times, a second of a
-    slow link, and healthy hosts were taken for silent meanwhile.
+    If they ask on every stream, each host receives the list 118 times.
+    That occupies a slow link for a second, during which healthy hosts are
+    taken for silent.
     """
     list_bytes = 60 * 100
     hosts = neighbours(11, 48)
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -1,4 +1,4 @@
-"""Who reads the configuration from the store, and when."""
+"""When a daemon with a slow link reads the store itself."""
 
 from peridotpost.decisions import following
 
@@ -10,13 +10,13 @@
 
 
 def reads(one: following.Following, start: float, end: float) -> list[float]:
-    """Return when `one` reads, asked each beat from `start` to `end`."""
+    """Return when `one` reads, checked each heartbeat in the interval."""
     beats = int((end - start) / BEAT_S) + 1
     asked = [start + beat * BEAT_S for beat in range(beats)]
     return [now for now in asked if one.reads_now(now)]
 
 
-def test_a_slow_link_reads_only_when_nobody_is_heard_of() -> None:
+def test_slow_link_reads_only_without_followers() -> None:
     one = slow()
     assert not reads(one, 0.0, following.HEARD_S - BEAT_S)
     first, second, *_ = reads(one, following.HEARD_S, 10.0)
@@ -25,12 +25,12 @@
     assert not reads(one, 20.0, 20.0 + following.HEARD_S - BEAT_S)
 
 
-def test_after_an_outage_slow_links_wait_for_those_that_follow() -> None:
-    """The store was out for eight seconds, so nobody followed it.
+def test_after_an_outage_slow_links_wait_for_followers() -> None:
+    """The store comes back after eight seconds, in which nobody followed it.
 
-    In the moment of its return all hosts with slow links read 400 KB,
-    which filled their links for a second: pings stayed unanswered, and
-    what they ran was given up.  The others are heard of within a beat.
+    If all hosts with slow links then read 400 KB at once, their links are
+    full for a second: pings go unanswered, and the work on them is given
+    up.  Followers announce themselves within one heartbeat.
     """
     one = slow()
     one.store_answers(False, 1.0)
@@ -41,7 +41,7 @@
     assert not reads(one, 9.0 + BEAT_S, 9.0 + following.HEARD_S)
 
 
-def test_a_zone_whose_fast_links_stay_away_reads_for_itself() -> None:
+def test_zone_without_followers_reads_for_itself() -> None:
     one = slow()
     one.store_answers(False, 1.0)
     one.store_answers(True, 9.0)
@@ -49,42 +49,43 @@
     assert read_at - 9.0 <= following.HEARD_S + BEAT_S
 
 
-def test_an_answer_in_the_middle_changes_nothing() -> None:
+def test_first_store_answer_delays_no_read() -> None:
     one = slow()
     one.store_answers(True, 5.0)
     assert one.reads_now(5.0)
 
 
 SILENCE_NOTICED_S = 1.5
-"""How late a daemon notices that the store has gone silent on it: 1.0 to
+"""The longest time until a daemon notices that the store is silent: 1.0 to
 1.5 s in the logs of a fleet of 61."""
 IN_FORCE_S = 2.0
-"""From the store's acknowledgement of a version until it is in force."""
+"""The limit from the store's acknowledgement until a version is in force."""
 
 
 def test_slow_links_are_current_when_the_fast_ones_lose_the_store() -> None:
     """Callers are served by a version that was replaced three seconds ago.
 
-    The store goes silent on all fast hosts of a zone and answers the slow
-    ones.  The fast ones say that they follow it until they notice; a version
-    comes in that time.  The slow ones wait for two beats more and then read,
-    though the fast ones could have told them.
+    The store goes silent for all fast hosts of a zone, but still answers
+    the slow ones.  The fast ones claim to follow it until they notice, and
+    a new version is accepted meanwhile.  If they don't announce the loss,
+    the slow ones wait for two more heartbeats before they read.
     """
     slow = following.Following(5.0, start=0.0)
     slow.store_answers(True, 0.0)
     slow.heard('fast', SILENCE_NOTICED_S)
     slow.lost('fast')
     acknowledged = SILENCE_NOTICED_S - following.BEAT_S / 2
-    looks = [step * following.BEAT_S for step in range(10)]
-    read_at = next(at for at in looks if slow.reads_now(at))
+    checks = [step * following.BEAT_S for step in range(10)]
+    read_at = next(at for at in checks if slow.reads_now(at))
     assert read_at <= acknowledged + IN_FORCE_S
 
 
-def test_of_a_zone_of_slow_links_one_reads_at_a_time() -> None:
-    """Requests stand still in a whole fleet when a few hosts lose a watch.
+def test_slow_links_of_a_zone_read_one_at_a_time() -> None:
+    """Requests stall in a whole fleet when a few hosts lose their watch.
 
-    All fast hosts of a zone lose the store's watch in the same moment and say
-    so.  All twenty slow ones then read 300 KB at once, 0.7 s on their links.
+    All fast hosts of a zone lose the store's watch at the same moment and
+    announce it.  If all twenty slow ones then read 300 KB at once, their
+    links are full for 0.7 s.
     """
     hosts = [slow() for _ in range(20)]
     for one in hosts:
@@ -102,13 +103,11 @@
                     other.others_read(now)
     assert len(read_at) <= 5
     pauses = [b - a for a, b in zip([10.0, *read_at], read_at, strict=False)]
-    # And none of them has to wait longer for a version than before.
-    assert max(pauses) <= following.READ_FOR_S + BEAT_S / len(hosts)
+    # The reads are still frequent enough for new versions.
+    assert max(pauses) <= following.PEER_READ_WAIT_S + BEAT_S / len(hosts)
 
 
-def test_one_that_loses_the_store_is_replaced_by_another_that_follows() -> (
-    None
-):
+def test_follower_that_loses_the_store_is_replaced_by_another() -> None:
     one = slow()
     one.heard('first', 5.0)
     one.heard('second', 5.0)
@@ -118,7 +117,7 @@
     assert one.reads_now(5.0 + BEAT_S)
 
 
-def test_a_word_of_one_that_never_followed_changes_nothing() -> None:
+def test_loss_on_a_host_that_never_followed_is_ignored() -> None:
     one = slow()
     one.heard('fast', 5.0)
     one.lost('slow')
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Members and targets that hang, leave, die, return and share a name."""
+"""Members and targets that hang, leave, die, restart or share a name."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def zone_text(mesh_text: str) -> str:
-    """Rautasilta's text with all hosts in one availability zone."""
+    """The configuration of Rautasilta with a single availability zone."""
     return re.sub(
         'availability_zones: .*', 'availability_zones: [hel-a]', mesh_text
     )
@@ -66,7 +66,7 @@
     return [one.port for one in targets.found.values()]
 
 
-def test_target_that_goes_silent_is_forgotten(
+def test_silent_target_is_removed(
     targets: local.LocalTargets,
 ) -> None:
     targets.announce(announced(1, until=4.0))
@@ -79,11 +79,11 @@
     assert [t.name for t in targets.myself.record.targets] == ['other']
 
 
-def test_pause_of_the_daemon_lets_no_announcement_lapse(
+def test_pause_of_the_daemon_expires_no_announcement(
     targets: local.LocalTargets,
 ) -> None:
-    # The daemon is frozen for a minute.  On thaw the first thing it saw
-    # was that no target had announced itself, and it dropped them all.
+    # The daemon is paused for a minute.  When it resumes, all announcements
+    # look expired, and it must not drop the targets.
     targets.announce(announced(1, until=4.0))
     targets.expire(0.0)
     targets.expire(60.0)
@@ -105,9 +105,9 @@
 def test_of_two_targets_with_one_name_the_later_one_holds_it(
     targets: local.LocalTargets,
 ) -> None:
-    # Two targets of a host are started with the same name by mistake.
-    # Calls went to the one and the other in turns, and the drain of one
-    # stopped work for both.
+    # Two targets of a host are started with the same name by mistake.  If
+    # both were accepted, calls would alternate between them, and draining
+    # one would stop work for both.
     targets.announce(announced(1, until=4.0))
     targets.announce(announced(2, until=5.0))
     for port, taken in ((1, False), (2, True), (1, False), (2, True)):
@@ -123,7 +123,7 @@
 
 
 def target_port(one: processes.RunningMesh, name: str) -> int:
-    """The port that a target process printed last."""
+    """Return the port that a target process printed last."""
     found: list[str] = []
 
     def printed() -> bool:
@@ -138,8 +138,8 @@
     return processes.get_json(f'http://127.0.0.1:{port}/standin/counts')
 
 
-def begun(port: int) -> int:
-    """Count the requests that a target has begun, whatever their end."""
+def started_requests(port: int) -> int:
+    """Count the requests that a target has started, with any outcome."""
     page = target_counts(port)
     ends = ('ran', 'shed', 'deadline', 'cancelled')
     ended = sum(page['counts'].get(end, 0) for end in ends)
@@ -195,38 +195,38 @@
 
 
 @pytest.mark.processes
-def test_frozen_daemon_is_routed_round_and_alive_again_after_thaw(
+def test_paused_daemon_is_routed_around_and_alive_after_resuming(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # A daemon is frozen for longer than a suspicion lasts.  The others
-    # declare it dead and route round it.  When it thaws it must not
-    # declare them dead by its own old timers, but refute and be back.
+    # A daemon is paused for longer than a suspicion lasts.  The others
+    # declare it dead and route around it.  When it resumes it must not
+    # declare them dead by its expired timers, but refute its own death.
     one = running_mesh(zone_text, hosts_per_zone=4, settings=FAST)
     one.wait_ready()
     one.wait_in_force(one.accept(zone_text))
     one.wait_targets(4)
-    *others, frozen = one.plan.hosts
+    *others, paused = one.plan.hosts
     service = others[0].service
-    assert frozen.service == service
-    name = f'daemon-{frozen.host}'
+    assert paused.service == service
+    name = f'daemon-{paused.host}'
     before = {h.host: member(one, others[0], h.host) for h in one.plan.hosts}
     one.signal(name, signal.SIGSTOP)
-    wait_all_see(one, others, frozen.host, 'dead')
+    wait_all_see(one, others, paused.host, 'dead')
     one.wait_targets(3, tuple(others))
     for host in others:
         assert processes.call(host, service).status == 200
     one.signal(name, signal.SIGCONT)
-    wait_all_see(one, list(one.plan.hosts), frozen.host, 'alive')
+    wait_all_see(one, list(one.plan.hosts), paused.host, 'alive')
     one.wait_targets(4)
-    assert counter(frozen, 'probe.declared-dead') == 0
-    assert counter(frozen, 'probe.own-pause') > 0
+    assert counter(paused, 'probe.declared-dead') == 0
+    assert counter(paused, 'probe.own-pause') > 0
     for host in others:
-        after = member(one, frozen, host.host)
+        after = member(one, paused, host.host)
         assert after['status'] == 'alive'
         assert counter(host, 'probe.declared-dead') <= 1
-    back = member(one, others[0], frozen.host)
-    assert back['incarnation'] > before[frozen.host]['incarnation']
-    assert processes.call(frozen, service).status == 200
+    back = member(one, others[0], paused.host)
+    assert back['incarnation'] > before[paused.host]['incarnation']
+    assert processes.call(paused, service).status == 200
 
 
 @contextlib.contextmanager
@@ -252,17 +252,19 @@
             sending.result()
 
 
-def work_begun(leaving: str, gone: mesh.PlannedHost, port: int) -> int:
-    """Count what was begun on `gone`, as the part that stays knows it."""
+def started_work(
+    leaving: str, leaving_host: mesh.PlannedHost, port: int
+) -> int:
+    """Count requests started on `leaving_host`, by the process that stays."""
     if leaving == 'target':
-        page = processes.get_json(f'http://{gone.admin}/v1/timeline')
+        page = processes.get_json(f'http://{leaving_host.admin}/v1/timeline')
         kinds = [event['kind'] for event in page['events']]
         return kinds.count('call.dispatched')
-    return begun(port)
+    return started_requests(port)
 
 
 def check_whole(answers: list[processes.HttpAnswer]) -> None:
-    """Each answer is whole and the one to its own request."""
+    """Check that each answer is complete and belongs to its request."""
     for number, answer in enumerate(answers):
         assert answer.status == 200, answer.body
         assert json.loads(answer.body)['path'] == f'/{number}'
@@ -270,22 +272,22 @@
 
 @pytest.mark.processes
 @pytest.mark.parametrize('leaving', ['target', 'daemon'])
-def test_one_that_leaves_gets_no_new_work_and_ends_what_it_has(
+def test_leaving_one_gets_no_new_work_and_finishes_its_own(
     leaving: str, running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # A target or its daemon is told to stop while it runs a long request
-    # and callers send without pause.  The long request and every other get
-    # their whole answers; once all have heard, nothing new comes there.
+    # A target or its daemon is asked to stop while it runs a long request
+    # and callers send continuously.  All requests must get complete answers,
+    # and once all daemons know of the stop, no new one may be sent there.
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
     one = running_mesh(text, hosts_per_zone=4, settings=FAST)
     one.wait_ready()
     one.wait_in_force(one.accept(text))
     one.wait_targets(4)
-    ingress, gone = one.plan.hosts[0], one.plan.hosts[3]
+    ingress, leaving_host = one.plan.hosts[0], one.plan.hosts[3]
     service = ingress.service
-    assert gone.service == service
+    assert leaving_host.service == service
     others = one.plan.hosts[:3]
-    port = target_port(one, f'target-{gone.host}')
+    port = target_port(one, f'target-{leaving_host.host}')
     near = target_port(one, f'target-{ingress.host}')
     call = functools.partial(processes.call, ingress, service, path='/long')
     long = {'Standin-Work-Ms': str(LONG_MS)}
@@ -301,31 +303,33 @@
             'both targets run long requests',
         )
         with calling(ingress, service) as answers:
-            one.signal(f'{leaving}-{gone.host}', signal.SIGTERM)
+            one.signal(f'{leaving}-{leaving_host.host}', signal.SIGTERM)
             one.wait_targets(3, others)
-            heard = len(answers)
-            # The call that was on its way when all had heard is over.
-            one.wait(lambda: len(answers) > heard + 1, 'that call ends')
-            at_hearing = work_begun(leaving, gone, port)
-            one.wait(lambda: len(answers) > heard + 50, 'more calls')
-            assert work_begun(leaving, gone, port) == at_hearing
+            answers_before = len(answers)
+            # Wait for the call that was in flight at that moment.
+            one.wait(
+                lambda: len(answers) > answers_before + 1, 'that call ends'
+            )
+            started_before = started_work(leaving, leaving_host, port)
+            one.wait(lambda: len(answers) > answers_before + 50, 'more calls')
+            assert started_work(leaving, leaving_host, port) == started_before
         ended = [future.result() for future in pending]
     check_whole(answers)
     for answer in ended:
         assert answer.status == 200, answer.body
         assert json.loads(answer.body)['path'] == '/long'
-    process = one.started.pop(f'{leaving}-{gone.host}')
+    process = one.started.pop(f'{leaving}-{leaving_host.host}')
     assert process.wait(processes.STOP_S) == 0
     if leaving == 'daemon':
-        wait_all_see(one, list(others), gone.host, 'left')
+        wait_all_see(one, list(others), leaving_host.host, 'left')
 
 
 @pytest.mark.processes
-def test_ingress_that_leaves_gives_callers_their_answers(
+def test_leaving_ingress_delivers_pending_answers(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # The daemon that took callers' long requests is told to stop while
-    # they run on another host.
+    # The daemon that received callers' long requests is asked to stop while
+    # the requests run on another host.
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
     one = running_mesh(text, hosts_per_zone=2, settings=FAST)
     one.wait_ready()
@@ -345,7 +349,10 @@
             )
             for number in range(LONG_CALLS)
         ]
-        one.wait(lambda: begun(port) == LONG_CALLS, 'all requests have begun')
+        one.wait(
+            lambda: started_requests(port) == LONG_CALLS,
+            'all requests have begun',
+        )
         assert one.stop(f'daemon-{ingress.host}') == 0
         check_whole([future.result() for future in pending])
 
@@ -354,8 +361,8 @@
 def test_announcements_by_processes(
     running_mesh: StartMesh, zone_text: str
 ) -> None:
-    # A target dies without a word and its successor has another port; one
-    # announces a service that the text does not know yet.
+    # A target is killed and its successor has another port; another target
+    # announces a service that is not in the configuration yet.
     one = running_mesh(
         zone_text, hosts_per_zone=2, targets=False, settings=FAST
     )
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Who is suspected and declared dead: whole zones of observers at once."""
+"""Suspicions and deaths in simulated zones of many observers."""
 
 import asyncio
 from collections.abc import Collection
@@ -48,13 +48,13 @@
 
 
 class Zone:
-    """Observers that share what they conclude, over a lossy network.
+    """Observers that share their conclusions, over a lossy network.
 
-    A suspect hears of its suspicion only by a probe that reaches it, as if
-    its streams were all broken.
+    A suspect learns of its suspicion only from a probe that reaches it, as
+    if all of its streams were broken.
 
-    :param down: hosts that answer nothing.
-    :param cut: hosts whose datagrams all get lost, both ways.
+    :param down: hosts that don't answer.
+    :param cut: hosts whose datagrams are all lost, in both directions.
     :param island: hosts that reach only each other.
     """
 
@@ -112,7 +112,7 @@
     def probe(self, source: str, to: str, live: Collection[str]) -> None:
         seen = self.records[to]
         if self.ping(source, to):
-            evidence = observers.Evidence(answered=True)
+            evidence = observers.ProbeResult(answered=True)
         else:
             evidence = self.probe_through(source, to, live)
         latest = self.records[to]
@@ -127,7 +127,7 @@
 
     def probe_through(
         self, source: str, to: str, live: Collection[str]
-    ) -> observers.Evidence:
+    ) -> observers.ProbeResult:
         near = set(live) - {source}
         helpers = self.observers[source].round.helpers(to, near)
         heard, answered = 0, False
@@ -136,7 +136,7 @@
                 continue
             heard += self.passes(helper, source)
             answered |= self.ping(helper, to) and self.passes(helper, source)
-        return observers.Evidence(answered, len(helpers), heard)
+        return observers.ProbeResult(answered, len(helpers), heard)
 
     def run(self, rounds: int, only: Collection[str] = ()) -> None:
         for _ in range(rounds):
@@ -156,20 +156,20 @@
 def test_lost_members_are_declared_dead_and_no_other(
     lost: int, loss: float, rounds: int
 ) -> None:
-    # A rack of 40 goes at once, or one daemon hangs: it takes datagrams
-    # and answers none.  Calls go on being sent there until it is dead.
+    # A rack of 40 fails at once, or one daemon hangs: it receives datagrams
+    # and answers none.  Calls are sent there until it is declared dead.
     zone = Zone(ZONE, loss, seed=11)
     zone.run(3)
-    gone = set(list(zone.records)[100 : 100 + lost])
-    zone.down = gone
+    failed = set(list(zone.records)[100 : 100 + lost])
+    zone.down = failed
     zone.run(rounds)
-    assert set(zone.dead_after) == gone
+    assert set(zone.dead_after) == failed
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_no_live_member_is_declared_dead_on_a_lossy_network(seed: int) -> None:
-    # Every twentieth datagram is lost.  Suspicions come up all the time;
-    # a death would take a live target out of every table.
+    # Every twentieth datagram is lost.  That causes suspicions all the
+    # time, but a death would remove a live target from every table.
     zone = Zone(ZONE, 0.05, seed)
     zone.run(40)
     assert zone.dead_after == {}
@@ -183,22 +183,22 @@
 
 
 def test_observer_that_reaches_nobody_declares_nobody_dead() -> None:
-    # One daemon's network card fails.  It must go on with the targets it
-    # knows, not take its whole zone out of its own table; the others must
-    # find it dead as ever.
+    # One daemon's network card fails.  It must keep the targets it knows
+    # instead of removing its whole zone from its table, and the others must
+    # still declare it dead.
     zone = Zone(100, 0.0, seed=5)
     zone.run(3)
-    lonely = 'h0007'
-    zone.cut = {lonely}
-    zone.run(50, only=[lonely])
+    isolated = 'h0007'
+    zone.cut = {isolated}
+    zone.run(50, only=[isolated])
     assert zone.suspected == []
     zone.run(8)
-    assert list(zone.dead_after) == [lonely]
+    assert list(zone.dead_after) == [isolated]
 
 
 def test_half_of_a_zone_that_is_cut_off_keeps_itself_alive() -> None:
-    # A switch fails: 30 of 90 reach only each other.  Their own records
-    # must stay; this side's view of the other half is its own affair.
+    # A switch fails: 30 of 90 hosts reach only each other, and must keep
+    # each other alive.  Their view of the other 60 is not checked.
     zone = Zone(90, 0.0, seed=6)
     island = set(list(zone.records)[:30])
     zone.island = island
@@ -206,20 +206,20 @@
     assert not island & set(zone.dead_after)
 
 
-def test_death_is_found_though_its_finder_dies_too() -> None:
-    # The only one who found the silence dies before its suspicion ends.
-    # The others only heard of it, and must act after a longer wait.
+def test_death_is_declared_though_its_first_observer_dies_too() -> None:
+    # The only observer that found the silence dies before the suspicion
+    # ends.  The others only received it, and must act after a longer wait.
     zone = Zone(60, 0.0, seed=7)
-    gone, finder = 'h0001', 'h0002'
-    zone.down = {gone}
-    zone.probe(finder, gone, zone.records)
-    assert zone.suspected == [gone]
-    zone.down |= {finder}
+    failed, first_observer = 'h0001', 'h0002'
+    zone.down = {failed}
+    zone.probe(first_observer, failed, zone.records)
+    assert zone.suspected == [failed]
+    zone.down |= {first_observer}
     others = [one for one in zone.records if one not in zone.down]
     for host in others:
         zone.observers[host].round.pending = [others[0]] * 12
     zone.run(9)
-    assert gone in zone.dead_after
+    assert failed in zone.dead_after
 
 
 @pytest.mark.parametrize(
@@ -231,27 +231,37 @@
     assert one.lasts_s(SUSPICION_S) == pytest.approx(lasts_s, abs=0.001)
 
 
-Evidence, Verdict = observers.Evidence, observers.Verdict
+ProbeResult, Verdict = observers.ProbeResult, observers.Verdict
 
 
 @pytest.mark.parametrize(
     ('status', 'evidence', 'after_s', 'verdict'),
     [
-        (ALIVE, Evidence(True), 0, Verdict.ALIVE),
-        (ALIVE, Evidence(False, 3, 1), 0, Verdict.SUSPECTED),
-        (ALIVE, Evidence(False, 0, 0), 0, Verdict.SUSPECTED),
-        (ALIVE, Evidence(False, 3, 0), 0, Verdict.ISOLATED),
-        (ALIVE, Evidence(False, 3, 3, overslept=True), 0, Verdict.UNCLEAR),
-        (SUSPECT, Evidence(False, 3, 3), 7.9, Verdict.STILL_SILENT),
-        (SUSPECT, Evidence(False, 3, 3), 8.0, Verdict.DEAD),
-        (SUSPECT, Evidence(True), 8.0, Verdict.ALIVE),
-        (SUSPECT, Evidence(False, 3, 0), 8.0, Verdict.ISOLATED),
-        (SUSPECT, Evidence(False, 3, 3, overslept=True), 8.0, Verdict.UNCLEAR),
+        (ALIVE, ProbeResult(True), 0, Verdict.ALIVE),
+        (ALIVE, ProbeResult(False, 3, 1), 0, Verdict.SUSPECTED),
+        (ALIVE, ProbeResult(False, 0, 0), 0, Verdict.SUSPECTED),
+        (ALIVE, ProbeResult(False, 3, 0), 0, Verdict.ISOLATED),
+        (
+            ALIVE,
+            ProbeResult(False, 3, 3, observer_paused=True),
+            0,
+            Verdict.UNCLEAR,
+        ),
+        (SUSPECT, ProbeResult(False, 3, 3), 7.9, Verdict.STILL_SILENT),
+        (SUSPECT, ProbeResult(False, 3, 3), 8.0, Verdict.DEAD),
+        (SUSPECT, ProbeResult(True), 8.0, Verdict.ALIVE),
+        (SUSPECT, ProbeResult(False, 3, 0), 8.0, Verdict.ISOLATED),
+        (
+            SUSPECT,
+            ProbeResult(False, 3, 3, observer_paused=True),
+            8.0,
+            Verdict.UNCLEAR,
+        ),
     ],
 )
 def test_verdict_on_one_probe(
     status: members.Status,
-    evidence: observers.Evidence,
+    evidence: observers.ProbeResult,
     after_s: float,
     verdict: observers.Verdict,
     randomness: random.Random,
@@ -266,7 +276,7 @@
     randomness: random.Random,
 ) -> None:
     one = suspicion.Suspicions(SUSPICION_S)
-    one.found_silent(record_of('a'), 0.0)
+    one.record_silence(record_of('a'), 0.0)
     one.observe(record_of('a', SUSPECT, incarnation=2), 3.0)
     assert one.expired(10.9) == []
     assert one.expired(11.0) == ['a']
@@ -283,7 +293,7 @@
 def test_observer_notices_its_own_pause(
     gaps: list[float], paused: bool
 ) -> None:
-    guard, now, seen = suspicion.PauseGuard(PERIOD_S, 0.0), 0.0, []
+    guard, now, seen = suspicion.PauseDetector(PERIOD_S, 0.0), 0.0, []
     for gap in gaps:
         now += gap
         seen.append(guard.paused(now))
@@ -301,17 +311,18 @@
 
 
 def test_last_member_of_a_zone_is_probed_from_other_zones() -> None:
-    # Two of a zone's three hosts are gone; when the last one goes, nobody
-    # in its zone is left to miss it and its targets stayed in the tables.
+    # Two of a zone's three hosts are gone.  When the last one fails, no
+    # member of its zone is left to find it silent, and its targets would
+    # stay in the tables.
     fleet = [record_of(f'a{n}') for n in range(4)]
     fleet += [record_of('b0', availability_zone='b')]
     fleet += [record_of(f'c{n}', availability_zone='c') for n in range(3)]
-    hosts = suspicion.probed_from('z', fleet)
+    hosts = suspicion.hosts_to_probe('z', fleet)
     assert hosts == ['a0', 'a1', 'a2', 'a3', 'b0']
 
 
 class FewMembers:
-    """A fleet for one prober; follows the merge rule's order."""
+    """A small fleet that merges records like ``decisions.fleet``."""
 
     def __init__(self, *records: members.MemberRecord) -> None:
         self.records = {one.host: one for one in records}
@@ -331,7 +342,7 @@
 
 
 class Sent:
-    """Takes in what a prober sends."""
+    """A transport that records the datagrams of a prober."""
 
     def __init__(self) -> None:
         self.datagrams: list[tuple[control_pb2.Probe, pings.Address]] = []
@@ -364,8 +375,8 @@
     counted: str,
     randomness: random.Random,
 ) -> None:
-    # In the last case the process is frozen while it waits for an answer:
-    # on waking it sees the expired wait before any datagram.
+    # In the last case the process is paused while it waits for an answer,
+    # and handles the expired timeout before any datagram.
     hosts = ('a', 'b', 'c', 'd')
     fleet = FewMembers(*(record_of(h, address=h) for h in hosts))
     clock: Any = fakes.Clock()
@@ -400,7 +411,7 @@
 
 
 class Link:
-    """Carries a prober's datagrams to the others of its loop."""
+    """A transport that delivers datagrams to the other probers."""
 
     def __init__(
         self,
@@ -464,14 +475,14 @@
         'ping-meant-for-another',
     ],
 )
-async def test_answer_that_proves_nothing_is_ignored_and_counted(
+async def test_invalid_answer_is_ignored_and_counted(
     change: dict[str, Any],
     address: pings.Address,
     count: str,
     randomness: random.Random,
 ) -> None:
-    # A daemon restarts on the address of a dead one, or an answer comes
-    # late: taken for the subject's, it would keep a dead target in use.
+    # A daemon starts on the address of a dead one, or an answer arrives
+    # late.  If it counted as the subject's, a dead target would stay in use.
     with open_prober(randomness) as (prober, fleet, sent, counts):
         probing_it = asyncio.ensure_future(
             prober.pings.ping(fleet.records['subject'])
@@ -507,7 +518,7 @@
 async def test_suspect_refutes_in_its_answer_to_the_probe(
     randomness: random.Random,
 ) -> None:
-    # The suspect's streams are broken, so only the probe tells it.
+    # The suspect's streams are broken, so only the probe informs it.
     with open_prober(randomness) as (prober, fleet, sent, _):
         myself = own.Myself(fleet.records['me'])
         prober.fleet.offer = myself.refute
@@ -523,15 +534,15 @@
         prober.pings.received(ping.SerializeToString(), SUBJECT)
         answer, to = sent.datagrams[-1]
     assert (answer.kind, answer.nonce, to) == (pings.ACK, 5, SUBJECT)
-    told = wire.member_from_wire(answer.facts[0])
-    assert (told.status, told.incarnation) == (ALIVE, 2)
+    refutation = wire.member_from_wire(answer.facts[0])
+    assert (refutation.status, refutation.incarnation) == (ALIVE, 2)
 
 
-async def test_helper_says_that_it_was_asked_and_a_flood_is_bounded(
+async def test_helper_confirms_requests_and_bounds_a_flood(
     randomness: random.Random,
 ) -> None:
     with open_prober(randomness) as (prober, _, sent, counts):
-        for nonce in range(pings.MAX_RELAYED + 5):
+        for nonce in range(pings.MAX_RELAYED_PROBES + 5):
             request = control_pb2.Probe(
                 kind=pings.PING_REQUEST,
                 nonce=nonce,
@@ -541,10 +552,12 @@
             prober.pings.received(request.SerializeToString(), HELPER)
         await asyncio.sleep(0)
         kinds = [(probe.kind, to) for probe, to in sent.datagrams]
-        assert kinds.count((pings.RECEIVED, HELPER)) == pings.MAX_RELAYED
-        assert kinds.count((pings.PING, SUBJECT)) == pings.MAX_RELAYED
+        assert (
+            kinds.count((pings.RECEIVED, HELPER)) == pings.MAX_RELAYED_PROBES
+        )
+        assert kinds.count((pings.PING, SUBJECT)) == pings.MAX_RELAYED_PROBES
         assert counts.totals['probe.relay-refused'] == 5
-        for task in tuple(prober.pings.relayed):
+        for task in tuple(prober.pings.relay_tasks):
             task.cancel()
 
 
@@ -564,10 +577,10 @@
     heard: members.MemberRecord, refutes: bool
 ) -> None:
     myself = own.Myself(record_of('me'))
-    told: list[members.MemberRecord] = []
-    myself.changed.subscribe(told.append)
+    published: list[members.MemberRecord] = []
+    myself.changed.subscribe(published.append)
     myself.refute(heard)
-    assert bool(told) is refutes
+    assert bool(published) is refutes
     if refutes:
-        assert told[0].mark > heard.mark
-        assert told[0].status is ALIVE
+        assert published[0].mark > heard.mark
+        assert published[0].status is ALIVE
