--- a/src/peridotpost/kernel/__init__.py
+++ b/src/peridotpost/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Micro-kernel: services by name, hooks, timers and the time line."""
+"""Process infrastructure: service registry, hooks, timers, logs, events."""
--- a/src/peridotpost/kernel/counters.py
+++ b/src/peridotpost/kernel/counters.py
@@ -1,10 +1,10 @@
-"""Counters first: what a process did, by name, sent on by statsd."""
+"""Named event counters of a process."""
 
 import collections
 
 
 class Counters:
-    """Adds up counts; a subscriber sends the differences to statsd."""
+    """Running totals by name, and the increments not yet exported."""
 
     def __init__(self) -> None:
         self.totals: collections.Counter[str] = collections.Counter()
@@ -13,8 +13,8 @@
     def add(self, name: str, amount: int = 1) -> None:
         self.totals[name] += amount
 
-    def unsent(self) -> dict[str, int]:
-        """Return what came in since the last call."""
+    def take_unsent(self) -> dict[str, int]:
+        """Return the increments since the last call."""
         differences = {
             name: total - self.sent[name]
             for name, total in self.totals.items()
--- a/src/peridotpost/kernel/dialling.py
+++ b/src/peridotpost/kernel/dialling.py
@@ -1,4 +1,4 @@
-"""Opens TCP streams to addresses without a resolver and its threads."""
+"""Opens TCP streams without resolver threads for IP addresses."""
 
 import asyncio
 import ipaddress
@@ -9,45 +9,47 @@
 IpAddress = ipaddress.IPv4Address | ipaddress.IPv6Address
 
 
-def _as_address(text: str) -> IpAddress | None:
+def _parse_ip(text: str) -> IpAddress | None:
     try:
         return ipaddress.ip_address(text)
     except ValueError:
-        # A name, which is looked up.
-        return None
+        return None  # A host name, which needs a DNS lookup.
 
 
 async def open_stream(
     address: str, port: int, timeout_s: float
 ) -> iostream.IOStream:
-    """Open a stream to an IP address, or to a name.
+    """Open a stream to an IP address or host name.
 
-    A resolver looks up even a plain address in a thread, which on a busy
-    machine may get no turn for over a second.  A connection that the
-    kernel has opened counts also when this process stood still past the
-    limit; judged by the timer alone, a host that listens would be taken
-    for gone.
+    Tornado's resolver runs in a thread even for an IP address, and on a
+    busy machine that thread may not be scheduled for over a second.
 
-    :raises OSError: it is refused, or not open within `timeout_s`, in
-        which case it is a ``TimeoutError``; nothing was sent.
+    If this process was stalled past the timeout, a connection that the
+    operating system has established in the meantime still counts.
+    Otherwise a listening host would be considered unreachable.
+
+    :raises OSError: the connection failed; ``TimeoutError`` if it was not
+        established within `timeout_s`.  Nothing was sent.
     """
-    found = _as_address(address)
-    if found is None:
+    ip = _parse_ip(address)
+    if ip is None:
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(timeout_s):
             rows = await loop.getaddrinfo(
                 address, port, type=socket.SOCK_STREAM
             )
-        found = ipaddress.ip_address(str(rows[0][4][0]))
-    family = socket.AF_INET if found.version == 4 else socket.AF_INET6
+        ip = ipaddress.ip_address(str(rows[0][4][0]))
+    family = socket.AF_INET if ip.version == 4 else socket.AF_INET6
     plain = socket.socket(family)
     plain.setblocking(False)
     stream = iostream.IOStream(plain)
-    opening = asyncio.ensure_future(stream.connect((str(found), port)))
+    opening = asyncio.ensure_future(stream.connect((str(ip), port)))
     try:
         await asyncio.wait({opening}, timeout=timeout_s)
         if not opening.done():
-            raise TimeoutError(f'{address}:{port} not open in {timeout_s} s')
+            raise TimeoutError(
+                f'no connection to {address}:{port} within {timeout_s} s'
+            )
         opening.result()
     except iostream.StreamClosedError as error:
         cause = error.real_error
--- a/src/peridotpost/kernel/hooks.py
+++ b/src/peridotpost/kernel/hooks.py
@@ -1,4 +1,4 @@
-"""Named hooks on which features hang without the core knowing them."""
+"""Named hooks through which features subscribe to events of the core."""
 
 from collections.abc import Callable
 from typing import Generic
@@ -8,7 +8,7 @@
 
 
 class Hook(Generic[EventT]):
-    """A named point at which subscribers are called with an event."""
+    """A named event with its subscribers."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -21,6 +21,6 @@
         self.subscribers.remove(subscriber)
 
     def fire(self, event: EventT) -> None:
-        """Call the subscribers in the order in which they subscribed."""
+        """Call the subscribers in order of subscription."""
         for subscriber in tuple(self.subscribers):
             subscriber(event)
--- a/src/peridotpost/kernel/lines.py
+++ b/src/peridotpost/kernel/lines.py
@@ -1,9 +1,9 @@
-"""Log lines as JSON on standard output, bounded and never waited for.
+"""Non-blocking, rate-limited JSON log on standard output.
 
-A process under load must not spend its processor on its log, nor stand
-still because nobody reads it.  Lines about requests come out of a token
-bucket; what was left out is counted and told with the next line.  A pipe
-that is full drops lines, counted too.
+Logging must neither use up the CPU of a loaded process nor block it when
+nobody reads the pipe.  A token bucket limits lines about requests, and
+lines are dropped while the pipe is full.  The next line that is written
+reports how many were left out or dropped.
 """
 
 from collections.abc import Callable
@@ -17,9 +17,11 @@
 
 
 class LineLog:
-    """Writes one JSON object a line.
+    """Writes one JSON object per line.
 
-    :param host: named in each line.
+    :param host: host name that is part of each line.
+    :param descriptor: file descriptor to write to; none if negative.
+    :param wall: returns the Unix time.
     """
 
     def __init__(
@@ -35,35 +37,38 @@
         self.budget = logbudget.LineBudget()
         self.left_out = 0
         self.dropped = 0
-        self.cut = False
+        self.line_truncated = False
         if descriptor >= 0:
             os.set_blocking(descriptor, False)
 
     def state(self, what: str, **fields: Any) -> None:
-        """Log a change of what the process is or believes."""
+        """Log a state change; not rate-limited."""
         self.tell(what, fields)
 
     def request(self, decision: str, **fields: Any) -> None:
-        """Log a decision on a request, if there is room for the line."""
+        """Log the decision on a request if the rate limit allows."""
         if self.has_room(logbudget.Weight.ENDING):
             self.tell(decision, fields)
 
     def has_room(self, weight: logbudget.Weight) -> bool:
-        """Take the room for a line about a request; without, count it."""
+        """Take tokens for a line about a request.
+
+        Returns False and counts the line as left out if there are too few.
+        """
         if self.budget.takes(weight, self.wall()):
             return True
         self.left_out += 1
         return False
 
     def has_room_for_served(self, now: float) -> bool:
-        """Take the room for the one served request of a second.
+        """Reserve the line for the one served request logged per second.
 
-        :param now: seconds of a steady clock.
+        :param now: seconds of a monotonic clock.
         """
         return self.budget.takes_served(now)
 
     def tell(self, what: str, fields: dict[str, Any]) -> None:
-        """Write a line; for one about a request, room was taken."""
+        """Write a line; the caller has reserved it if it is rate-limited."""
         line: dict[str, Any] = {
             'at': round(self.wall(), 3),
             'host': self.host,
@@ -75,18 +80,18 @@
         if self.dropped:
             line['dropped'] = self.dropped
         raw = self.encoder.encode(line) + b'\n'
-        if self.cut:
+        if self.line_truncated:
             raw = b'\n' + raw
         if self.descriptor < 0:
             return
         try:
             written = os.write(self.descriptor, raw)
         except OSError:
-            # Nobody reads, or the reader is gone; the count tells.
+            # The pipe is full, or its reader is gone.
             self.dropped += 1
             return
-        self.cut = written < len(raw)
-        if not self.cut:
+        self.line_truncated = written < len(raw)
+        if not self.line_truncated:
             self.left_out = 0
             self.dropped = 0
         else:
--- a/src/peridotpost/kernel/registry.py
+++ b/src/peridotpost/kernel/registry.py
@@ -1,4 +1,4 @@
-"""The registry in which services of a process find each other by name."""
+"""Registry through which the services of a process find each other."""
 
 from typing import TypeVar
 
@@ -8,20 +8,20 @@
 
 
 class Kernel:
-    """Holds the services of one process; knows none of their features."""
+    """Maps names to the services of one process."""
 
     def __init__(self) -> None:
         self.services: dict[str, object] = {}
 
     def register(self, name: str, service: object) -> None:
-        """Make `service` known as `name`.
+        """Register `service` as `name`.
 
-        :raises PeridotError: the name is taken.
+        :raises PeridotError: the name is already registered.
         """
         if name in self.services:
             raise errors.PeridotError(
-                f'service {name!r} is registered already; '
-                'give the second one another name',
+                f'service {name!r} is already registered; '
+                'use another name for the second one',
                 step='kernel.register',
             )
         self.services[name] = service
@@ -29,13 +29,13 @@
     def find(self, name: str, kind: type[ServiceT]) -> ServiceT:
         """Return the service `name`.
 
-        :raises PeridotError: there is none, or it is not a `kind`.
+        :raises PeridotError: it is not registered or not of type `kind`.
         """
         service = self.services.get(name)
         if not isinstance(service, kind):
             raise errors.PeridotError(
                 f'no service {name!r} of type {kind.__name__}; '
-                f'registered are {sorted(self.services)}',
+                f'registered services: {sorted(self.services)}',
                 step='kernel.find',
             )
         return service
--- a/src/peridotpost/kernel/statsd_export.py
+++ b/src/peridotpost/kernel/statsd_export.py
@@ -1,4 +1,7 @@
-"""Counters sent on to statsd; apart, as not every program has it."""
+"""Exports counters to statsd.
+
+A separate module, so that programs without statsd need not import it.
+"""
 
 from collections.abc import Iterator
 import contextlib
@@ -9,7 +12,7 @@
 
 
 class StatsdExport:
-    """Sends counters as statsd packets."""
+    """Sends the increments of counters in statsd packets."""
 
     def __init__(
         self, counters: counts.Counters, address: str, port: int, prefix: str
@@ -19,7 +22,7 @@
 
     def flush(self) -> None:
         with self.client.pipeline() as pipe:
-            for name, amount in self.counters.unsent().items():
+            for name, amount in self.counters.take_unsent().items():
                 pipe.incr(name, amount)
 
 
--- a/src/peridotpost/kernel/timeline.py
+++ b/src/peridotpost/kernel/timeline.py
@@ -1,23 +1,24 @@
-"""The event time line of one process, a bounded ring in memory.
+"""Ring buffer of the recent events of one process.
 
-Hosts have no disks; ``peridotctl timeline`` collects and merges the rings.
+It is kept in memory because hosts have no disks; ``peridotctl timeline``
+collects and merges the buffers.
 """
 
 import collections
 from collections.abc import Callable
 import dataclasses
 
-RING_EVENTS = 4096
-"""Events kept; at 102 calls/s with few events a call, half a minute of
-calls, or days of state changes alone."""
+MAX_EVENTS = 4096
+"""Capacity: half a minute at 102 calls/s with a few events per call, or
+days of state changes alone."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened at one process.
+    """An event of one process.
 
-    :param at: seconds since 1970 by the host's clock.
-    :param number: rises by one with each event of the process.
+    :param at: Unix time on the host's clock.
+    :param number: sequence number within the process.
     """
 
     at: float
@@ -30,10 +31,10 @@
 
 
 class Timeline:
-    """Records events and gives back those that match."""
+    """Records events and selects them by request or revision."""
 
     def __init__(
-        self, host: str, wall: Callable[[], float], size: int = RING_EVENTS
+        self, host: str, wall: Callable[[], float], size: int = MAX_EVENTS
     ) -> None:
         self.host = host
         self.wall = wall
@@ -64,7 +65,7 @@
     def select(
         self, *, request_id: str = '', revision: int = 0
     ) -> list[Event]:
-        """Return the kept events; empty or 0 matches everything."""
+        """Return the matching events; '' and 0 match any value."""
         return [
             event
             for event in self.events
--- a/src/peridotpost/kernel/timers.py
+++ b/src/peridotpost/kernel/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: the one place where parts of a process get time."""
+"""Timer service: the only source of time and periodic calls in a process."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -16,34 +16,37 @@
 
 @dataclasses.dataclass(slots=True)
 class Subscription:
-    """A part's standing order for ticks.
+    """A periodic callback.
 
-    :param period_s: mean seconds between two ticks.
-    :param jitter: share of the period by which each tick may vary.
+    :param period_s: mean interval between two ticks.
+    :param jitter: fraction of the period by which each interval may vary.
     """
 
     name: str
     period_s: float
     jitter: float
     tick: Tick
-    handle: asyncio.TimerHandle | None = None
+    timer: asyncio.TimerHandle | None = None
     running: asyncio.Task[None] | None = None
     cancelled: bool = False
 
 
 class TimerService:
-    """Gives the time and calls subscribers; one tick at a time for each."""
+    """Provides clocks and periodic callbacks.
+
+    The ticks of one subscription never overlap.
+    """
 
     def __init__(self, randomness: random.Random) -> None:
         self.randomness = randomness
         self.subscriptions: list[Subscription] = []
 
     def now(self) -> float:
-        """Return seconds by a clock that never goes back."""
+        """Return the seconds of a monotonic clock."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return seconds since 1970; may jump, and differs by host."""
+        """Return the Unix time; it may jump and differs between hosts."""
         return time.time()
 
     def subscribe(
@@ -57,8 +60,8 @@
 
     def cancel(self, subscription: Subscription) -> None:
         subscription.cancelled = True
-        if subscription.handle is not None:
-            subscription.handle.cancel()
+        if subscription.timer is not None:
+            subscription.timer.cancel()
         if subscription.running is not None:
             subscription.running.cancel()
         if subscription in self.subscriptions:
@@ -72,7 +75,7 @@
         spread = subscription.jitter * (2 * self.randomness.random() - 1)
         delay = subscription.period_s * (1 + spread)
         loop = asyncio.get_running_loop()
-        subscription.handle = loop.call_later(delay, self._fire, subscription)
+        subscription.timer = loop.call_later(delay, self._fire, subscription)
 
     def _fire(self, subscription: Subscription) -> None:
         subscription.running = asyncio.ensure_future(self._run(subscription))
@@ -83,9 +86,9 @@
             if result is not None:
                 await result
         except Exception:
-            # A part whose tick fails must not lose its later ticks: a
-            # daemon that stopped probing after one bad datagram would
-            # never again notice a dead neighbour.
+            # A failed tick must not end the subscription: a daemon that
+            # stopped probing after one malformed datagram would never
+            # again detect a dead peer.
             eliot.write_traceback()
         finally:
             subscription.running = None
--- a/testing/test_lines.py
+++ b/testing/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines are whole, bounded, counted, and never waited for."""
+"""The JSON log writes complete lines, rate-limited and non-blocking."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 
 class Clock:
-    """A wall clock that stands until it is moved."""
+    """A wall clock that only the test advances."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def pipe() -> tuple[int, int]:
-    """A pipe that a log writes to, as (reading, writing)."""
+    """A pipe for the log, as (read end, write end)."""
     reading, writing = os.pipe()
     os.set_blocking(reading, False)
     return reading, writing
@@ -32,7 +32,7 @@
     return [json.loads(line) for line in raw.splitlines() if line]
 
 
-def test_a_line_says_when_where_and_what(pipe: tuple[int, int]) -> None:
+def test_line_has_time_host_and_event(pipe: tuple[int, int]) -> None:
     log = lines.LineLog('host-1', pipe[1], Clock())
     log.state('config', before=1, version=2, source='store')
     assert read_lines(pipe[0]) == [
@@ -47,7 +47,7 @@
     ]
 
 
-def test_a_surge_of_refusals_is_bounded_and_counted(
+def test_burst_of_refusals_is_limited_and_counted(
     pipe: tuple[int, int],
 ) -> None:
     clock = Clock()
@@ -64,7 +64,7 @@
     assert 'left_out' not in line
 
 
-def test_changes_of_state_are_never_left_out(pipe: tuple[int, int]) -> None:
+def test_state_changes_are_never_left_out(pipe: tuple[int, int]) -> None:
     log = lines.LineLog('h', pipe[1], Clock())
     for number in range(300):
         log.request('refused', request=str(number))
@@ -73,10 +73,10 @@
     assert events.count('member') == 300
 
 
-def test_a_full_pipe_is_not_waited_for(pipe: tuple[int, int]) -> None:
-    """Nobody reads the log; a write that waited would stop the process.
+def test_full_pipe_does_not_block(pipe: tuple[int, int]) -> None:
+    """A blocking write to a pipe that nobody reads would stop the process.
 
-    What did not fit is counted, and the lines after it are whole again.
+    Lines that do not fit are counted, and later lines are complete again.
     """
     log = lines.LineLog('h', pipe[1], Clock())
     for _ in range(3000):
@@ -89,22 +89,23 @@
         except BlockingIOError:
             break
     log.state('config', detail='after')
-    found = [
+    written = [
         json.loads(line)
         for line in os.read(pipe[0], 1 << 20).splitlines()
         if line
     ]
-    assert found[-1]['detail'] == 'after'
-    assert found[-1]['dropped'] == dropped
+    assert written[-1]['detail'] == 'after'
+    assert written[-1]['dropped'] == dropped
 
 
-def test_steps_on_the_way_leave_room_for_what_callers_received(
+def test_lines_about_steps_leave_room_for_outcomes(
     pipe: tuple[int, int],
 ) -> None:
-    """Four guards refuse each request before its caller is told.
+    """Four guards may decline a request before its caller gets a response.
 
-    Their lines come first and are more; they would push out the line that
-    a search for the request's id should find.
+    Their lines are written first and are more numerous.  They must not use
+    up the rate limit of the line about the outcome, which a search for the
+    request's id should find.
     """
     log = lines.LineLog('h', pipe[1], Clock())
     for number in range(1000):
@@ -117,10 +118,12 @@
     assert 0 < events.count('declined') < logbudget.BURST_LINES
 
 
-def test_one_served_request_a_second_is_told(pipe: tuple[int, int]) -> None:
+def test_one_served_request_per_second_is_logged(
+    pipe: tuple[int, int],
+) -> None:
     log = lines.LineLog('h', pipe[1], Clock())
-    for turn in range(400):
-        if log.has_room_for_served(turn / 100):
-            log.tell('served', {'request': str(turn)})
-    told = [line['request'] for line in read_lines(pipe[0])]
-    assert told == ['0', '100', '200', '300']
+    for number in range(400):
+        if log.has_room_for_served(number / 100):
+            log.tell('served', {'request': str(number)})
+    logged = [line['request'] for line in read_lines(pipe[0])]
+    assert logged == ['0', '100', '200', '300']
--- a/testing/test_statsd.py
+++ b/testing/test_statsd.py
@@ -1,4 +1,4 @@
-"""Counters reach statsd as differences."""
+"""Counters are exported to statsd as increments."""
 
 import socket
 
@@ -6,7 +6,7 @@
 from peridotpost.kernel import statsd_export
 
 
-def test_counters_are_sent_as_differences() -> None:
+def test_counters_are_sent_as_increments() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(('127.0.0.1', 0))
         server.settimeout(10)
--- a/testing/test_tasks.py
+++ b/testing/test_tasks.py
@@ -1,4 +1,4 @@
-"""Ending tasks."""
+"""Cancelling tasks."""
 
 import asyncio
 
@@ -8,9 +8,9 @@
 
 
 async def test_cancellation_during_clean_up_is_not_lost() -> None:
-    # A peer leaves; the uplink's clean-up waits for its sending task.  In
-    # that moment the daemon stops and cancels the uplink.  The uplink must
-    # end, not go back to dialling.
+    # An uplink whose peer left waits for its sending task to finish when
+    # the daemon stops and cancels the uplink.  The uplink must end instead
+    # of dialling again.
     release = asyncio.Event()
 
     async def slow_to_end() -> None:
@@ -42,19 +42,19 @@
     assert task.done()
 
 
-async def test_task_that_lost_its_cancellation_is_ended_all_the_same() -> None:
-    # A peer's answer is there in the very moment in which the daemon
-    # stops; the wait for it returns the answer and the cancellation is
-    # gone.  A loop round such a wait must still end.
-    answered = asyncio.get_running_loop().create_future()
-    rounds = 0
+async def test_task_that_lost_its_cancellation_is_cancelled_again() -> None:
+    # If a peer's response arrives at the moment the daemon stops, waiting
+    # for it may return the response and lose the cancellation.  A loop
+    # around such a wait must still end.
+    response = asyncio.get_running_loop().create_future()
+    iterations = 0
 
     async def dialling() -> None:
-        nonlocal rounds
+        nonlocal iterations
         while not tasks.cancelled():
-            rounds += 1
+            iterations += 1
             try:
-                await answered
+                await response
             except asyncio.CancelledError:
                 continue
 
@@ -62,4 +62,4 @@
     await asyncio.sleep(0)
     await tasks.end(task)
     assert task.done()
-    assert rounds == 1
+    assert iterations == 1
