--- a/src/peridotpost/distribution/__init__.py
+++ b/src/peridotpost/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Carries accepted versions and members' records to every daemon."""
+"""Distributes configuration versions and member records to all daemons."""
--- a/src/peridotpost/distribution/dialling.py
+++ b/src/peridotpost/distribution/dialling.py
@@ -1,6 +1,7 @@
-"""The one place where a daemon opens a channel to another.
+"""Opens gRPC channels to other daemons.
 
-Tests put a fake in its place to cut availability zones off.
+Tests replace :func:`dial` to simulate partitions between availability
+zones.
 """
 
 from collections.abc import AsyncIterator
@@ -20,8 +21,8 @@
     ('grpc.http2.max_pings_without_data', 0),
     ('grpc.http2.min_ping_interval_without_data_ms', KEEPALIVE_MS // 2),
     ('grpc.enable_http_proxy', 0),
-    # The probe of bandwidth is a ping beside each message: an idle stream
-    # took 148 bytes a second with it and 91 without (bench.framing).
+    # Bandwidth probing sends a ping with each message: an idle stream took
+    # 148 bytes/s with it and 91 without (bench.framing).
     ('grpc.http2.bdp_probe', 0),
 )
 
@@ -30,7 +31,7 @@
 
 @contextlib.asynccontextmanager
 async def dial(address: str) -> AsyncIterator[aio.Channel]:
-    """Own a channel to `address` and close it."""
+    """Yield a channel to `address` and close it on exit."""
     options = list(CHANNEL_OPTIONS)
     async with aio.insecure_channel(address, options) as channel:
         yield channel
--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -1,12 +1,12 @@
-"""One standing exchange of facts between two daemons, on either side.
+"""State of the long-lived exchange of facts between two daemons.
 
-A link keeps no queue of messages: only which facts its peer may lack.
-When the peer can take more, the present state of those facts is sent, so
-a slow peer costs a bounded memory and skips versions that were overtaken.
+A link queues no messages.  It tracks which facts the peer may lack and
+sends their current state when the peer can receive more, so a slow peer
+takes bounded memory and skips superseded versions.
 
-A :class:`Link` reads and writes nothing itself: `next_frame` says what to
-send and `take` what to do with what came, so that tests can delay, cross,
-repeat and damage frames without a network.  ``streams`` carries them.
+A :class:`Link` does no I/O: `next_frame` returns what to send and
+`handle_frame` processes what was received.  Tests can so delay, reorder,
+repeat and corrupt frames without a network.  ``streams`` does the I/O.
 """
 
 import asyncio
@@ -26,15 +26,15 @@
 
 MEMBERS_PER_MESSAGE = 500
 Ping = Callable[[str], Awaitable[bool]]
-"""Whether the host of that name answers just now."""
-SILENT_BEATS = 3
-"""Own beats without a word from the peer after which a link is given up.
-Counted by own beats, not by the clock, so that a process which was paused
-itself does not blame its peers."""
+"""Probes a host by name; returns whether it responded."""
+MAX_MISSED_HEARTBEATS = 3
+"""Heartbeats without a sign of life from the peer that end a link.
+Heartbeats of this process are counted instead of seconds, so that a
+process which was paused does not consider its peers silent."""
 
 
 class LinkTable:
-    """Every link of this daemon; passes on each fact that is new."""
+    """All links of this daemon; forwards each new fact to them."""
 
     def __init__(
         self,
@@ -47,48 +47,49 @@
         self.zone = zone
         self.links: list[Link] = []
         replica.changed.subscribe(self.spread)
-        replica.interest_changed.subscribe(lambda _: self.greet_again())
+        replica.interest_changed.subscribe(lambda _: self.resend_hello())
 
     @property
     def progress(self) -> progress.Progress:
-        """Lowest revision in force here and at all that report to here."""
-        below = [link.below for link in self.links]
+        """Lowest revision in force here and in the subtrees reported here."""
+        subtrees = [link.subtree_progress for link in self.links]
         revision = self.replica.version.revision
-        return progress.combine(self.replica.host, revision, below)
+        return progress.combine(self.replica.host, revision, subtrees)
 
     def attach(self, link: 'Link') -> None:
         self.links.append(link)
-        self.note_progress()
+        self.report_progress()
 
     def detach(self, link: 'Link') -> None:
         self.links.remove(link)
-        self.note_progress()
+        self.report_progress()
 
     def spread(self, change: replicas.FactChange) -> None:
         for link in self.links:
             link.note(change)
         if change.version is not None:
-            self.note_progress()
+            self.report_progress()
 
-    def note_progress(self) -> None:
-        """Let the parent know if the word on this part of the tree moved."""
+    def report_progress(self) -> None:
+        """Report the progress of this subtree to the parent if it changed."""
         for link in self.links:
-            if link.reports and link.told != self.progress:
+            if link.reports and link.reported_progress != self.progress:
                 link.wake.set()
 
-    def greet_again(self) -> None:
-        """Tell every peer of the new scope."""
+    def resend_hello(self) -> None:
+        """Send every peer a Hello with the changed interest."""
         for link in self.links:
             link.owes_greeting = True
             link.wake.set()
 
 
 class Link:
-    """What one peer is known to hold and what it is still to be told.
+    """What one peer is known to hold and which facts it has yet to receive.
 
-    :param dialled: this side opened the stream; the other one, which took
-        it, sends the sums over its members.
-    :param reports: the peer is this daemon's parent in the tree.
+    :param dialled: this side opened the stream; the other side sends the
+        checksums of its member buckets.
+    :param reports: progress is reported to the peer, which is this
+        daemon's parent in the tree or the first relay of its zone.
     """
 
     def __init__(
@@ -112,19 +113,19 @@
         self.dirty_hosts: set[str] = set()
         self.dirty_config = False
         self.dirty_buckets: frozenset[int] = frozenset()
-        self.wanted_hosts: set[str] = set()
+        self.hosts_to_request: set[str] = set()
         self.owes_greeting = False
-        self.owes_whole_request = False
+        self.need_whole_due = False
         self.ping: Ping | None = None
-        self.told: progress.Progress | None = None
-        self.below = progress.NOTHING_TOLD
+        self.reported_progress: progress.Progress | None = None
+        self.subtree_progress = progress.NOTHING_TOLD
         self.heard = True
-        self.silent_beats = 0
+        self.missed_heartbeats = 0
         self.wake = asyncio.Event()
         self.over = asyncio.Event()
 
     def note(self, change: replicas.FactChange) -> None:
-        """Mark a fact that is new here, unless this peer brought it."""
+        """Mark a changed fact for sending unless it came from this peer."""
         if change.source == self.peer:
             return
         if change.member is not None:
@@ -134,76 +135,82 @@
         self.wake.set()
 
     async def beat(self) -> None:
-        """Ask the peer for a sign of life; end the link if it gives none.
+        """Probe the peer and end the link after too many missed heartbeats.
 
-        Guards against a peer that hangs or is cut off without a word:
-        its connection stands, so that neither side would notice, and this
-        daemon would hear of no version.  TCP alone takes minutes.
+        This detects a peer that hangs or is partitioned while its
+        connection stays open.  Neither side would notice, and this daemon
+        would receive no further version; TCP alone takes minutes.
         """
         if self.ping is not None and await self.ping(self.peer):
             self.heard = True
-        self.silent_beats = 0 if self.heard else self.silent_beats + 1
+        self.missed_heartbeats = (
+            0 if self.heard else self.missed_heartbeats + 1
+        )
         self.heard = False
-        if self.silent_beats >= SILENT_BEATS:
+        if self.missed_heartbeats >= MAX_MISSED_HEARTBEATS:
             self.counts.add('link.silent')
             self.over.set()
 
     def next_frame(self) -> control_pb2.Frame | None:
-        """Return what to send next; None while the peer lacks nothing."""
+        """Return the next frame to send; None if there is nothing to send."""
         if self.owes_greeting:
             self.owes_greeting = False
             return control_pb2.Frame(hello=greeting(self))
         if not self.greeted:
             return None
-        if self.owes_whole_request:
-            self.owes_whole_request = False
-            held = self.replica.version.revision
-            need = control_pb2.NeedWhole(revision=held)
+        if self.need_whole_due:
+            self.need_whole_due = False
+            revision = self.replica.version.revision
+            need = control_pb2.NeedWhole(revision=revision)
             return control_pb2.Frame(need_whole=need)
-        return self._member_talk() or self._facts() or self._progress()
+        return (
+            self._member_sync_frame()
+            or self._facts_frame()
+            or self._progress_frame()
+        )
 
-    def _member_talk(self) -> control_pb2.Frame | None:
+    def _member_sync_frame(self) -> control_pb2.Frame | None:
         if self.dirty_buckets:
             buckets, self.dirty_buckets = self.dirty_buckets, frozenset()
             marks = self.replica.fleet.marks(buckets)
             return control_pb2.Frame(marks=wire.bucket_marks(buckets, marks))
-        if self.wanted_hosts:
-            hosts, self.wanted_hosts = sorted(self.wanted_hosts), set()
+        if self.hosts_to_request:
+            hosts, self.hosts_to_request = sorted(self.hosts_to_request), set()
             request = control_pb2.MemberRequest(hosts=hosts)
             return control_pb2.Frame(member_request=request)
         return None
 
-    def _progress(self) -> control_pb2.Frame | None:
-        now = self.table.progress
-        if not self.reports or now == self.told:
+    def _progress_frame(self) -> control_pb2.Frame | None:
+        current = self.table.progress
+        if not self.reports or current == self.reported_progress:
             return None
-        self.told = now
+        self.reported_progress = current
         return control_pb2.Frame(
             progress=control_pb2.Progress(
-                lowest_revision=now.lowest_revision,
-                daemons=now.daemons,
-                hosts_sum=now.hosts_sum,
+                lowest_revision=current.lowest_revision,
+                daemons=current.daemons,
+                hosts_sum=current.hosts_sum,
             )
         )
 
-    def _facts(self) -> control_pb2.Frame | None:
+    def _facts_frame(self) -> control_pb2.Frame | None:
         while self.dirty_config or self.dirty_hosts:
-            update = self._take_config()
+            update = self._next_config_update()
             hosts = sorted(self.dirty_hosts)[:MEMBERS_PER_MESSAGE]
             self.dirty_hosts.difference_update(hosts)
             records = self.replica.fleet.records
-            found = [records[host] for host in hosts if host in records]
-            if update is None and not found:
+            known = [records[host] for host in hosts if host in records]
+            if update is None and not known:
                 continue
             return control_pb2.Frame(
                 facts=control_pb2.Facts(
                     config=update,
-                    members=[wire.member_to_wire(one) for one in found],
+                    members=[wire.member_to_wire(record) for record in known],
                 )
             )
         return None
 
-    def _take_config(self) -> control_pb2.Config | None:
+    def _next_config_update(self) -> control_pb2.Config | None:
         if not self.dirty_config:
             return None
         self.dirty_config = False
@@ -211,10 +218,11 @@
         if held.revision == 0 or held.revision < self.peer_version.revision:
             return None
         if not versions.covers(self.replica.scope, self.interest):
-            # A peer with a wider scope than what is held here would take
-            # our part of a version for the whole.  Asking what is wanted
-            # here is not enough: a daemon that has just become a parent
-            # wants everything and still holds its old part.
+            # A peer with a wider interest than the scope held here would
+            # mistake this partial version for a complete one.  Comparing
+            # with this daemon's own interest is not enough: a daemon that
+            # has just become a parent is interested in everything but
+            # still holds its former part.
             return None
         scoped = held.scoped(self.interest)
         if scoped == self.peer_version:
@@ -227,34 +235,34 @@
         return wire.update_to_wire(versions.difference(base, target))
 
     def take(self, frame: control_pb2.Frame) -> None:
-        """Act on one frame of the peer.
+        """Process one frame from the peer.
 
-        :raises errors.CodecError: it cannot be read; nothing of it is
-            kept, and the link must end.
+        :raises errors.CodecError: the frame is invalid; nothing of it was
+            applied, and the link must end.
         """
         self.heard = True
         kind = frame.WhichOneof('body')
         if kind == 'hello':
-            self._greet(frame.hello)
+            self._handle_hello(frame.hello)
         elif kind == 'facts':
-            self._receive(frame.facts)
+            self._handle_facts(frame.facts)
         elif kind == 'need_whole':
             self.peer_version = config.NO_CONFIG
             self.dirty_config = True
         elif kind == 'marks':
-            self._compare(frame.marks)
+            self._handle_marks(frame.marks)
         elif kind == 'member_request':
             self.dirty_hosts.update(frame.member_request.hosts)
         elif kind == 'progress':
-            self._note_below(frame.progress)
+            self._handle_progress(frame.progress)
             return
         self.wake.set()
 
-    def _greet(self, hello: control_pb2.Hello) -> None:
-        """Take in what the peer says it holds; mark what it lacks."""
+    def _handle_hello(self, hello: control_pb2.Hello) -> None:
+        """Record what the peer holds and mark what it lacks."""
         if not hello.host:
             raise errors.CodecError(
-                'the greeting names no host', step='link.greet', peer=self.peer
+                'Hello without a host', step='link.greet', peer=self.peer
             )
         self.peer = hello.host
         self.interest = wire.interest_from_wire(hello.interest)
@@ -268,7 +276,7 @@
         self.dirty_config = hello.revision <= scoped.revision and not same
         if len(hello.member_sums) not in (0, len(self.replica.fleet.sums)):
             raise errors.CodecError(
-                'another count of member sums',
+                'unexpected number of member sums',
                 step='link.greet',
                 peer=self.peer,
             )
@@ -277,60 +285,60 @@
             self.dirty_buckets |= differing
         self.greeted = True
 
-    def _compare(self, message: control_pb2.MemberMarks) -> None:
-        """Find who of two knows more of each member in the buckets."""
-        buckets, marks = wire.read_bucket_marks(message)
+    def _handle_marks(self, message: control_pb2.MemberMarks) -> None:
+        """Mark records that are newer here, and request those newer there."""
+        buckets, marks = wire.bucket_marks_from_wire(message)
         fleet = self.replica.fleet
         newer = fleet.newer_than(marks, buckets)
-        self.dirty_hosts.update(one.host for one in newer)
-        self.wanted_hosts.update(fleet.older_than(marks))
+        self.dirty_hosts.update(record.host for record in newer)
+        self.hosts_to_request.update(fleet.older_than(marks))
 
-    def _receive(self, facts: control_pb2.Facts) -> None:
+    def _handle_facts(self, facts: control_pb2.Facts) -> None:
         """Offer the peer's facts to the replica."""
-        records = [wire.member_from_wire(one) for one in facts.members]
+        records = [wire.member_from_wire(member) for member in facts.members]
         if facts.HasField('config'):
             update = wire.update_from_wire(facts.config)
-            self._judge(self.replica.offer_config(update, self.peer))
+            self._handle_verdict(self.replica.offer_config(update, self.peer))
         for record in records:
             self._offer_member(record)
 
     def _offer_member(self, record: members.MemberRecord) -> None:
-        """Merge the peer's record, or answer it with the later one held.
+        """Merge the peer's record, or reply with the newer one held here.
 
-        A peer that hears from elsewhere of a member as alive, whose death
-        was known here before, would otherwise hold it as alive until the
-        next reconciliation.
+        Otherwise a peer that learns from elsewhere that a member is alive,
+        after it was found dead here, would keep it as alive until the next
+        reconciliation.
         """
         if self.replica.offer_member(record, self.peer):
             return
         if self.replica.fleet.records[record.host].mark > record.mark:
             self.dirty_hosts.add(record.host)
 
-    def _judge(self, verdict: versions.Verdict) -> None:
+    def _handle_verdict(self, verdict: versions.Verdict) -> None:
         if verdict is versions.Verdict.DAMAGED:
             raise errors.CodecError(
-                'a whole version does not match its seal',
+                'a complete version does not match its digest',
                 step='link.receive',
                 peer=self.peer,
             )
         if verdict is versions.Verdict.NEED_WHOLE:
-            self.owes_whole_request = True
+            self.need_whole_due = True
         elif verdict is versions.Verdict.APPLIED:
             if versions.covers(self.replica.scope, self.interest):
                 held = self.replica.version
                 self.peer_version = held.scoped(self.interest)
 
-    def _note_below(self, message: control_pb2.Progress) -> None:
-        told = progress.Progress(
+    def _handle_progress(self, message: control_pb2.Progress) -> None:
+        received = progress.Progress(
             message.lowest_revision, message.daemons, message.hosts_sum
         )
-        if told != self.below:
-            self.below = told
-            self.table.note_progress()
+        if received != self.subtree_progress:
+            self.subtree_progress = received
+            self.table.report_progress()
 
 
 def greeting(link: Link) -> control_pb2.Hello:
-    """Return what this daemon says of itself when a link begins."""
+    """Return the Hello with which this daemon introduces itself."""
     replica = link.replica
     return control_pb2.Hello(
         host=replica.host,
@@ -344,6 +352,6 @@
 
 
 def frames(link: Link) -> Iterator[control_pb2.Frame]:
-    """Yield all that the link owes its peer now."""
+    """Yield all frames that are due to the peer."""
     while (frame := link.next_frame()) is not None:
         yield frame
--- a/src/peridotpost/distribution/reconcile.py
+++ b/src/peridotpost/distribution/reconcile.py
@@ -1,9 +1,8 @@
-"""The slow exchange with one random peer, for what streams missed.
+"""Periodic anti-entropy with a random peer, for facts that streams missed.
 
-Guards against a fact lost between two streams (a parent that died after
-it took a fact and before it passed it on), which would show as one daemon
-that never hears of a change.  It holds because every pair of daemons is
-compared sooner or later and the merge takes the later fact of the two.
+A fact is lost if a parent dies after it received the fact and before it
+forwarded it; a daemon would then never learn of the change.  Eventually
+every pair of daemons is compared, and merging keeps the newer fact.
 """
 
 import asyncio
@@ -24,7 +23,7 @@
 
 
 class Reconciler:
-    """Asks one random member at a time for what is lacking here."""
+    """Fetches missing facts from one random member at a time."""
 
     def __init__(
         self,
@@ -40,19 +39,27 @@
         self.dial: dialling.Dial = dialling.dial
 
     def pick(self) -> str | None:
-        """Return the address to ask next, mostly within the zone."""
+        """Return the next peer's address, mostly within the zone."""
         live = [
-            one
-            for one in self.replica.fleet.live()
-            if one.host != self.replica.host
+            record
+            for record in self.replica.fleet.live()
+            if record.host != self.replica.host
         ]
-        near = [one for one in live if one.availability_zone == self.zone]
-        far = [one for one in live if one.availability_zone != self.zone]
-        across = self.randomness.random() < CROSS_ZONE_SHARE
-        chosen = (far or near) if across else (near or far)
-        if not chosen:
+        same_zone = [
+            record for record in live if record.availability_zone == self.zone
+        ]
+        other_zones = [
+            record for record in live if record.availability_zone != self.zone
+        ]
+        cross_zone = self.randomness.random() < CROSS_ZONE_SHARE
+        peers = (
+            (other_zones or same_zone)
+            if cross_zone
+            else (same_zone or other_zones)
+        )
+        if not peers:
             return None
-        return self.randomness.choice(chosen).control_address
+        return self.randomness.choice(peers).control_address
 
     async def tick(self) -> None:
         address = self.pick()
@@ -60,25 +67,27 @@
             await self.ask(address)
 
     async def ask(self, address: str) -> int | None:
-        """Fetch from `address` what is lacking.
+        """Fetch the facts that are missing here from `address`.
 
-        Returns the revision that the asked holds, 0 for none; None if it
-        gave no usable answer.
+        Returns the peer's revision, 0 if it has no version, or None if
+        the exchange failed.
         """
         try:
             async with self.dial(address) as channel:
                 stub = control_pb2_grpc.ControlStub(channel)
-                facts = await self._question(stub, self._digest(), address)
+                facts = await self._send_digest(
+                    stub, self._full_digest(), address
+                )
                 if facts.differing:
-                    marks = self._marks(frozenset(facts.differing))
-                    await self._question(stub, marks, address)
+                    marks = self._marks_digest(frozenset(facts.differing))
+                    await self._send_digest(stub, marks, address)
         except (grpc.RpcError, errors.PeridotError, asyncio.TimeoutError):
             self.counts.add('reconcile.failed')
             return None
         self.counts.add('reconcile.asked')
         return facts.revision
 
-    async def _question(
+    async def _send_digest(
         self,
         stub: control_pb2_grpc.ControlStub,
         digest: control_pb2.Digest,
@@ -89,11 +98,11 @@
             digest, timeout=TIMEOUT_S
         )
         self.counts.add('reconcile.received-bytes', facts.ByteSize())
-        self.take(facts, address)
+        self.apply_facts(facts, address)
         return facts
 
-    def _digest(self) -> control_pb2.Digest:
-        """Return the first question: sums over all that is held."""
+    def _full_digest(self) -> control_pb2.Digest:
+        """Return the first request: checksums of all that is held."""
         replica = self.replica
         digest = control_pb2.Digest(
             host=replica.host,
@@ -102,24 +111,24 @@
             interest=wire.interest_to_wire(replica.interest),
             member_sums=replica.fleet.sums,
         )
-        mine = replica.fleet.records.get(replica.host)
-        if mine is not None:
-            digest.sender.CopyFrom(wire.member_to_wire(mine))
+        own_record = replica.fleet.records.get(replica.host)
+        if own_record is not None:
+            digest.sender.CopyFrom(wire.member_to_wire(own_record))
         return digest
 
-    def _marks(self, buckets: frozenset[int]) -> control_pb2.Digest:
-        """Return the second question: the marks where sums differed."""
+    def _marks_digest(self, buckets: frozenset[int]) -> control_pb2.Digest:
+        """Return the second request: the marks of buckets that differed."""
         marks = self.replica.fleet.marks(buckets)
         return control_pb2.Digest(
             host=self.replica.host, marks=wire.bucket_marks(buckets, marks)
         )
 
-    def take(self, facts: control_pb2.Facts, address: str) -> None:
+    def apply_facts(self, facts: control_pb2.Facts, address: str) -> None:
         """Offer the facts to the replica.
 
-        :raises errors.CodecError: they cannot be read; nothing is kept.
+        :raises errors.CodecError: they are invalid; none was applied.
         """
-        records = [wire.member_from_wire(one) for one in facts.members]
+        records = [wire.member_from_wire(member) for member in facts.members]
         source = f'reconcile {address}'
         if facts.HasField('config'):
             update = wire.update_from_wire(facts.config)
--- a/src/peridotpost/distribution/replica.py
+++ b/src/peridotpost/distribution/replica.py
@@ -1,8 +1,8 @@
-"""What this daemon holds: its configuration, the fleet and the table.
+"""This daemon's copy of the configuration, member records and routes.
 
-Every source of facts (store watch, streams, reconciliation, probes) ends
-here; the rules of ``decisions.versions`` and ``decisions.fleet`` decide
-what is kept, so that it does not matter by which way a fact came.
+All sources of facts (store watch, streams, reconciliation, probes) feed
+into it.  The rules of ``decisions.versions`` and ``decisions.fleet``
+decide what is kept, so the source of a fact makes no difference.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FactChange:
-    """A fact that is new here, and by which link it came ('' if own)."""
+    """A new fact and the peer it was received from ('' if local)."""
 
     source: str
     member: members.MemberRecord | None = None
@@ -30,7 +30,7 @@
 
 
 class Replica:
-    """The daemon's copy; fires `changed` for each fact that is new."""
+    """Local state of a daemon; fires `changed` for each new fact."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
 
     @property
     def version(self) -> config.ConfigVersion:
-        """The version in force here, cut to `scope`."""
+        """The version in force here, restricted to `scope`."""
         return self.holding.version
 
     @property
     def scope(self) -> config.Interest:
-        """What is held whole; lags `interest` until that is fetched."""
+        """What is held completely; lags `interest` until that is fetched."""
         return self.holding.scope
 
     @property
@@ -68,20 +68,20 @@
         return self.holding.digest
 
     @property
-    def lacks_scope(self) -> bool:
+    def needs_wider_scope(self) -> bool:
         return not versions.covers(self.scope, self.interest)
 
     @property
     def table(self) -> routing.RoutingTable:
-        """The table for what is held now, compiled when first asked for.
+        """The routing table, compiled lazily.
 
-        A herd of thousands that joins changes it as often; compiling at
-        the next call instead of at each change does the work once.
+        When thousands of members join at once, each changes the table;
+        it is compiled once, on the next access, instead of every time.
         """
         return self.tables.current(self.version)
 
     def set_interest(self, interest: config.Interest) -> None:
-        """Hold another scope from now on; a wider one must be fetched."""
+        """Change the interest; a wider scope has yet to be fetched."""
         if interest == self.interest:
             return
         self.interest = interest
@@ -91,34 +91,34 @@
     def offer_config(
         self, update: versions.ConfigUpdate, source: str
     ) -> versions.Verdict:
-        """Apply an update by the rules of ``decisions.versions``."""
+        """Apply an update as ``decisions.versions`` decides."""
         judgement = versions.judge(self.holding, self.interest, update)
         self.counts.add(f'config.{judgement.verdict.value}')
         if judgement.verdict is versions.Verdict.APPLIED:
-            self._swap(judgement.holding, source)
+            self._replace_holding(judgement.holding, source)
         return judgement.verdict
 
     def offer_whole(
         self, version: config.ConfigVersion, source: str
     ) -> versions.Verdict:
-        """Offer a version that was read whole, as from the store."""
+        """Offer a complete version, such as one read from the store."""
         scoped = version.scoped(self.interest)
         target = versions.Holding(scoped, self.interest)
         update = versions.difference(config.NO_CONFIG, target)
         return self.offer_config(update, source)
 
     def offer_member(self, record: members.MemberRecord, source: str) -> bool:
-        """Merge a member's record; say whether it is new here."""
+        """Merge a member's record; return whether it was new."""
         before = self.fleet.records.get(record.host)
         if not self.fleet.merge(record, self.clock.now()):
             return False
         self.counts.add('member.applied')
-        self._note_member(before, record)
+        self._log_member_status(before, record)
         self.tables.member_changed(before, record)
         self.changed.fire(FactChange(source, member=record))
         return True
 
-    def _swap(self, holding: versions.Holding, source: str) -> None:
+    def _replace_holding(self, holding: versions.Holding, source: str) -> None:
         before = self.version.revision
         self.holding = holding
         version = holding.version
@@ -133,7 +133,7 @@
         )
         self.changed.fire(FactChange(source, version=version))
 
-    def _note_member(
+    def _log_member_status(
         self,
         before: members.MemberRecord | None,
         record: members.MemberRecord,
@@ -141,8 +141,8 @@
         if before is not None and before.status is record.status:
             return
         if before is None and record.live:
-            # Not a change: a fresh daemon hears of 5,200 members at once,
-            # and a line for each took most of its join.
+            # Not logged: a starting daemon learns of 5,200 members at
+            # once, and a line for each took most of its join.
             self.counts.add('member.met')
             return
         old = before.status.name if before is not None else 'unknown'
--- a/src/peridotpost/distribution/server.py
+++ b/src/peridotpost/distribution/server.py
@@ -1,4 +1,4 @@
-"""The parent's side: takes in streams and answers reconciliations."""
+"""Server side: accepts streams of children and reconciliation requests."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -27,7 +27,7 @@
 
 
 class ControlServicer(control_pb2_grpc.ControlServicer):
-    """Serves the Control service for one daemon."""
+    """Implements the Control service of one daemon."""
 
     def __init__(
         self,
@@ -38,16 +38,16 @@
         self.replica = replica
         self.table = table
         self.counts = counts
-        self.limit = pacing.JoinLimit(replica.clock.now())
+        self.join_limiter = pacing.JoinLimit(replica.clock.now())
         self.children = 0
         self.closing = asyncio.Event()
 
-    async def Exchange(  # noqa: N802 - the name is the protocol's
+    async def Exchange(  # noqa: N802 - name of the RPC
         self, request_iterator: Any, context: Context
     ) -> None:
-        """Hold one child's stream until either side ends it."""
-        hello = await self._first(context)
-        refusal = self._refuse()
+        """Serve one child's stream until either side ends it."""
+        hello = await self._read_hello(context)
+        refusal = self._check_admission()
         if refusal is not None:
             self.counts.add('link.refused')
             await context.write(control_pb2.Frame(refusal=refusal))
@@ -66,10 +66,10 @@
         finally:
             self.children -= 1
 
-    async def _first(self, context: Context) -> control_pb2.Hello:
-        """Read the greeting, without which no stream is held open."""
+    async def _read_hello(self, context: Context) -> control_pb2.Hello:
+        """Read the Hello; abort the call if none arrives in time."""
         try:
-            async with asyncio.timeout(streams.GREETING_S):
+            async with asyncio.timeout(streams.HELLO_TIMEOUT_S):
                 first = await context.read()
         except TimeoutError:
             first = aio.EOF
@@ -80,25 +80,25 @@
         hello: control_pb2.Hello = first.hello
         return hello
 
-    def _refuse(self) -> control_pb2.Refusal | None:
+    def _check_admission(self) -> control_pb2.Refusal | None:
         if self.children >= tree.MAX_CHILDREN:
             return control_pb2.Refusal(
                 reason='full', come_back_ms=int(pacing.CAP_S * 1000)
             )
-        wait_s = self.limit.admit(self.replica.clock.now())
+        wait_s = self.join_limiter.admit(self.replica.clock.now())
         if wait_s:
             return control_pb2.Refusal(
                 reason='storm', come_back_ms=int(wait_s * 1000) + 1
             )
         return None
 
-    async def Reconcile(  # noqa: N802 - the name is the protocol's
+    async def Reconcile(  # noqa: N802 - name of the RPC
         self, request: control_pb2.Digest, context: Context
     ) -> control_pb2.Facts:
-        """Answer with what the sender of the digest lacks."""
+        """Return the facts that the sender of the digest lacks."""
         self.counts.add('reconcile.answered')
         try:
-            facts = self.lacking(request)
+            facts = self.missing_facts(request)
             if request.HasField('sender'):
                 sender = wire.member_from_wire(request.sender)
                 self.replica.offer_member(sender, f'reconcile {sender.host}')
@@ -106,32 +106,34 @@
         except errors.CodecError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
 
-    def lacking(self, digest: control_pb2.Digest) -> control_pb2.Facts:
+    def missing_facts(self, digest: control_pb2.Digest) -> control_pb2.Facts:
         """Return the facts that the sender of `digest` does not hold."""
         facts = control_pb2.Facts(revision=self.replica.version.revision)
         fleet = self.replica.fleet
         if digest.HasField('marks'):
-            buckets, marks = wire.read_bucket_marks(digest.marks)
+            buckets, marks = wire.bucket_marks_from_wire(digest.marks)
             newer = fleet.newer_than(marks, buckets)
-            facts.members.extend(wire.member_to_wire(one) for one in newer)
+            facts.members.extend(
+                wire.member_to_wire(record) for record in newer
+            )
             return facts
         if len(digest.member_sums) != len(fleet.sums):
             raise errors.CodecError(
-                'another count of member sums',
+                'unexpected number of member sums',
                 step='reconcile.answer',
                 peer=digest.host,
             )
         facts.differing.extend(sorted(fleet.differing(digest.member_sums)))
         interest = wire.interest_from_wire(digest.interest)
-        held = self.replica.version.scoped(interest)
-        target = versions.Holding(held, interest)
-        newer_here = held.revision > digest.revision or (
-            held.revision == digest.revision
+        scoped = self.replica.version.scoped(interest)
+        target = versions.Holding(scoped, interest)
+        newer_here = scoped.revision > digest.revision or (
+            scoped.revision == digest.revision
             and target.digest != digest.config_digest
         )
         if newer_here and versions.covers(self.replica.scope, interest):
-            whole = versions.difference(config.NO_CONFIG, target)
-            facts.config.CopyFrom(wire.update_to_wire(whole))
+            full_update = versions.difference(config.NO_CONFIG, target)
+            facts.config.CopyFrom(wire.update_to_wire(full_update))
         return facts
 
 
@@ -139,9 +141,9 @@
 async def serving(
     servicer: ControlServicer, address: str, port: int
 ) -> AsyncIterator[int]:
-    """Serve the Control service and yield the port in use.
+    """Run the Control service and yield its port.
 
-    :raises errors.PeridotError: the port is taken.
+    :raises errors.PeridotError: the port is already in use.
     """
     server = aio.server(
         options=(*dialling.CHANNEL_OPTIONS, ('grpc.so_reuseport', 0))
--- a/src/peridotpost/distribution/source.py
+++ b/src/peridotpost/distribution/source.py
@@ -1,4 +1,7 @@
-"""A relay's watch on the store, and the read with which a daemon starts."""
+"""Reads configuration versions from the store.
+
+A relay watches the store; any daemon reads it once when it starts.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,14 +23,14 @@
 from peridotpost.store import versions
 
 SOURCE = 'store'
-SHORT_WATCH_S = 1.0
-"""A read and a watch that together ended sooner count as a failure: a
-store that reads well but ends each watch at once would otherwise be asked
-without a pause by every relay."""
+MIN_WATCH_S = 1.0
+"""A read plus watch that ends sooner counts as a failure.  Otherwise every
+relay would query without a pause a store whose reads succeed but whose
+watches end immediately."""
 
 
 class Source:
-    """Brings accepted versions from the store while this is a relay."""
+    """Watches the store for new versions while this daemon is a relay."""
 
     def __init__(
         self,
@@ -46,17 +49,17 @@
         self.last_revision = 0
         self.reachable = True
         self.garbage = False
-        self.rejection = ''
+        self.last_rejection = ''
 
     def follow_place(self, place: tree.Place) -> None:
-        """Watch exactly while this daemon is a relay."""
+        """Run the watch exactly while this daemon is a relay."""
         if place.parent_of_others:
-            # It goes on holding the whole when its place moves on: in a
-            # zone that is cut off it may be the only one that does, and
-            # the one that takes its place has to fetch it from here.
+            # The full configuration is kept even after the position
+            # changes: in a partitioned zone this daemon may be the only
+            # one that has it, and its successor fetches it from here.
             self.replica.set_interest(config.EVERYTHING)
         if place.relay and self.watching is None:
-            self.watching = asyncio.ensure_future(self._watch())
+            self.watching = asyncio.ensure_future(self._run())
             logs.state_changed('relay', to='on')
         elif not place.relay and self.watching is not None:
             self.watching.cancel()
@@ -64,81 +67,84 @@
             logs.state_changed('relay', to='off')
 
     async def read_once(self) -> bool:
-        """Read the head; False when the store gave no usable answer."""
+        """Read the head; False if the store gave no valid response."""
         head = await versions.read_head(self.platform, self.mesh)
         if isinstance(head, result.Err):
             self.garbage = isinstance(head.err_value, errors.StoreGarbage)
             if self.garbage:
-                self._rejected(head.err_value)
-            self._failed(head.err_value)
+                self._note_rejected(head.err_value)
+            self._note_unreachable(head.err_value)
             return False
         self.garbage = False
-        self._recovered()
+        self._note_reachable()
         if head.ok_value is not None:
-            self._offer(head.ok_value)
+            self._offer_version(head.ok_value)
         return True
 
-    async def _watch(self) -> None:
+    async def _run(self) -> None:
         while not tasks.cancelled():
-            began = self.replica.clock.now()
+            started_at = self.replica.clock.now()
             try:
-                # Behind a damaged head the watch still tells of the good
-                # version that takes its place, at once.
+                # Also watch if the head is damaged, to receive the valid
+                # version that replaces it without delay.
                 read = await self.read_once() or self.garbage
-                good = read and await self._watch_once()
+                succeeded = read and await self._watch_once()
             except Exception:
-                # A relay whose watch dies by a mistake of ours would hear
-                # of no version and look healthy.
+                # If a bug ended the watch, the relay would receive no
+                # further version and still look healthy.
                 self.counts.add('source.broken')
                 eliot.write_traceback()
-                good = False
-            if good and self.replica.clock.now() - began >= SHORT_WATCH_S:
+                succeeded = False
+            if (
+                succeeded
+                and self.replica.clock.now() - started_at >= MIN_WATCH_S
+            ):
                 self.backoff.reset()
             else:
                 await asyncio.sleep(self.backoff.next_delay())
 
     async def _watch_once(self) -> bool:
-        """Follow one bounded watch to its end; False when it failed."""
+        """Run one time-limited watch; False if it failed."""
         watch = self.platform.watch(
             versions.head_key(self.mesh), self.last_revision + 1
         )
         async for item in watch:
             if isinstance(item, result.Err):
-                self._failed(item.err_value)
+                self._note_unreachable(item.err_value)
                 return False
-            self._take(item.ok_value)
+            self._handle_write(item.ok_value)
         return True
 
-    def _take(self, kv: store.KeyValue) -> None:
+    def _handle_write(self, kv: store.KeyValue) -> None:
         accepted = versions.decode_version(kv)
         if isinstance(accepted, result.Err):
-            self._rejected(accepted.err_value)
+            self._note_rejected(accepted.err_value)
             return
-        self._offer(accepted.ok_value)
+        self._offer_version(accepted.ok_value)
 
-    def _offer(self, accepted: versions.Accepted) -> None:
+    def _offer_version(self, accepted: versions.Accepted) -> None:
         self.last_revision = max(self.last_revision, accepted.revision)
         if accepted.revision <= self.replica.version.revision:
-            if not self.replica.lacks_scope:
+            if not self.replica.needs_wider_scope:
                 return
         compiled = versions.compile_version(accepted)
         if isinstance(compiled, result.Err):
-            self._rejected(compiled.err_value)
+            self._note_rejected(compiled.err_value)
             return
         self.replica.offer_whole(compiled.ok_value, SOURCE)
 
-    def _rejected(self, error: errors.StoreError) -> None:
+    def _note_rejected(self, error: errors.StoreError) -> None:
         self.counts.add('source.rejected')
-        if self.rejection != str(error):
-            self.rejection = str(error)
+        if self.last_rejection != str(error):
+            self.last_rejection = str(error)
             logs.state_changed('version-rejected', error=str(error)[:500])
 
-    def _failed(self, error: errors.StoreError) -> None:
+    def _note_unreachable(self, error: errors.StoreError) -> None:
         if self.reachable:
             logs.state_changed('store', to='unreachable', error=str(error))
         self.reachable = False
 
-    def _recovered(self) -> None:
+    def _note_reachable(self) -> None:
         if not self.reachable:
             logs.state_changed('store', to='reachable')
         self.reachable = True
--- a/src/peridotpost/distribution/streams.py
+++ b/src/peridotpost/distribution/streams.py
@@ -1,4 +1,4 @@
-"""Carries the frames of a link over one gRPC stream, on either side."""
+"""Transports the frames of a link over a gRPC stream, on either side."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -14,17 +14,18 @@
 from peridotpost.model import errors
 
 GATHER_S = 0.02
-"""Facts that arrive within this time leave in one message: a rack's loss
-is some forty records, and each hop of the tree adds this once."""
-BEAT_S = 1.0
-"""The side that dialled asks the other for a sign of life this often, by
-one datagram: a frozen parent is left after 3-4 s.  Beats on the stream
-itself cost each side 1.5 ms of processor time a stream and second, which
-took a parent of 16 over its share of a core.  The side that was dialled
-needs no hurry: gRPC's own keepalive ends a stream to a frozen child."""
-GREETING_S = 2.0
-"""A frozen peer's host still takes connections, so the greeting is what
-shows that somebody is there."""
+"""Facts that arrive within this time are sent in one message, such as the
+some forty records of a lost rack.  It adds to the latency of each hop of
+the tree."""
+HEARTBEAT_S = 1.0
+"""Interval at which the dialling side probes the other by a datagram, so
+that it leaves a frozen parent after 3-4 s.  Heartbeats on the stream itself
+took 1.5 ms of CPU per stream and second on each side, which put a parent of
+16 children over its share of a core.  The accepting side relies on gRPC's
+slower keepalive to end the stream of a frozen child."""
+HELLO_TIMEOUT_S = 2.0
+"""Timeout of the peer's first frame.  The kernel of a frozen peer still
+accepts connections, so only this frame shows that the process runs."""
 
 Read = Callable[[], Awaitable[Any]]
 Write = Callable[[control_pb2.Frame], Coroutine[Any, Any, None]]
@@ -33,21 +34,23 @@
 async def converse(
     link: links.Link, read: Read, write: Write, closing: asyncio.Event
 ) -> None:
-    """Exchange facts until one side ends it, falls silent or `closing`.
+    """Run a link until a side ends it, the peer is silent or `closing` is set.
 
-    Sending and receiving end together: a sender that died by itself would
-    leave a link that looks alive and tells its peer nothing more.
+    Sending and receiving end together.  If only the sender failed, the
+    link would look alive but send the peer nothing more.
 
-    :raises errors.CodecError: the peer sent what cannot be read.
+    :raises errors.CodecError: the peer sent an invalid frame.
     """
     link.table.attach(link)
     clock = link.replica.clock
-    beat = None
+    heartbeat = None
     if link.ping is not None:
-        beat = clock.subscribe(f'beat {link.peer}', BEAT_S, link.beat)
-    parts = [
-        asyncio.ensure_future(one)
-        for one in (
+        heartbeat = clock.subscribe(
+            f'beat {link.peer}', HEARTBEAT_S, link.beat
+        )
+    running = [
+        asyncio.ensure_future(coroutine)
+        for coroutine in (
             _send(link, write),
             _receive(link, read),
             closing.wait(),
@@ -56,15 +59,15 @@
     ]
     try:
         done, _ = await asyncio.wait(
-            parts, return_when=asyncio.FIRST_COMPLETED
+            running, return_when=asyncio.FIRST_COMPLETED
         )
         for task in done:
             task.result()
     finally:
         link.table.detach(link)
-        if beat is not None:
-            clock.cancel(beat)
-        await tasks.end(*parts)
+        if heartbeat is not None:
+            clock.cancel(heartbeat)
+        await tasks.end(*running)
 
 
 async def _send(link: links.Link, write: Write) -> None:
--- a/src/peridotpost/distribution/uplinks.py
+++ b/src/peridotpost/distribution/uplinks.py
@@ -1,8 +1,7 @@
-"""The child's side: keeps the streams that its place in the tree asks for.
+"""Client side: maintains the streams that the position in the tree requires.
 
-The wanted peers are worked out anew whenever the fleet changes.  A stream
-that ends is opened again after a back-off with jitter, towards the next
-parent in the list.
+The desired peers are recomputed whenever the fleet changes.  A stream that
+ends is reopened to the next candidate after a back-off with jitter.
 """
 
 import asyncio
@@ -31,16 +30,20 @@
 from peridotpost.model import errors
 from peridotpost.model import members
 
-REPLAN_S = 0.2
-"""Seconds between a change of the fleet and new uplinks: a rack that goes
-at once gives one plan, not forty."""
-REPORTING = frozenset({'parent', 'mate'})
-"""Streams towards the zone's first relay, which so hears of all."""
+REPLAN_DELAY_S = 0.2
+"""Delay between a change of the fleet and the new plan, so that the loss of
+a rack causes one plan instead of forty."""
+REPORTING_UPLINKS = frozenset({'parent', 'mate'})
+"""Uplinks towards the zone's first relay, which collects the progress."""
 
 
 @dataclasses.dataclass(slots=True)
 class Uplink:
-    """A wanted stream: candidates in order of preference."""
+    """A desired stream.
+
+    :param candidates: peers in order of preference.
+    :param peer: the candidate that is connected or being tried.
+    """
 
     candidates: tuple[str, ...]
     task: asyncio.Task[None]
@@ -48,7 +51,7 @@
 
 
 class Uplinks:
-    """Holds one stream to a parent, or to each other zone's relay."""
+    """Maintains a stream to the parent or, on a relay, to other zones."""
 
     def __init__(
         self,
@@ -68,38 +71,38 @@
         self.dial: dialling.Dial = dialling.dial
         self.ping: links.Ping | None = None
         self.closing = asyncio.Event()
-        self.addresses: Callable[[str], str | None] = self._address
+        self.resolve_address: Callable[[str], str | None] = self._address_of
         self.bootstrap: tuple[str, ...] = ()
-        self.replanning: asyncio.TimerHandle | None = None
+        self.replan_timer: asyncio.TimerHandle | None = None
         self.on_place: list[Callable[[tree.Place], None]] = []
-        replica.changed.subscribe(self._fleet_changed)
+        replica.changed.subscribe(self._schedule_replan)
 
-    def _fleet_changed(self, change: replicas.FactChange) -> None:
-        if change.member is None or self.replanning is not None:
+    def _schedule_replan(self, change: replicas.FactChange) -> None:
+        if change.member is None or self.replan_timer is not None:
             return
         loop = asyncio.get_running_loop()
-        self.replanning = loop.call_later(REPLAN_S, self.plan)
+        self.replan_timer = loop.call_later(REPLAN_DELAY_S, self.plan)
 
     def plan(self) -> None:
-        """Work out the place in the tree and the streams to hold."""
-        self.replanning = None
+        """Compute the position in the tree and update the streams."""
+        self.replan_timer = None
         fleet = self.replica.fleet
         hosts = fleet.live_hosts(self.zone)
         self.place = tree.place_of(self.replica.host, self.zone, hosts)
-        wanted = self._wanted(hosts)
-        for name in [one for one in self.wanted if one not in wanted]:
+        desired = self._desired_uplinks(hosts)
+        for name in [held for held in self.wanted if held not in desired]:
             self.wanted.pop(name).task.cancel()
-        for name, candidates in wanted.items():
-            held = self.wanted.get(name)
-            if held is None:
+        for name, candidates in desired.items():
+            uplink = self.wanted.get(name)
+            if uplink is None:
                 self._open(name, candidates)
-            elif held.candidates != candidates:
-                self._move(name, held, candidates)
+            elif uplink.candidates != candidates:
+                self._update_candidates(name, uplink, candidates)
         for listener in self.on_place:
             listener(self.place)
 
-    def _wanted(self, hosts: list[str]) -> dict[str, tuple[str, ...]]:
-        """Return the candidates of each wanted stream, by its name."""
+    def _desired_uplinks(self, hosts: list[str]) -> dict[str, tuple[str, ...]]:
+        """Return the candidates of each desired uplink by its name."""
         if not self.place.relay:
             parents = tree.suspects_last(self.place.parents, self.suspected())
             return {'parent': parents or self.bootstrap}
@@ -116,41 +119,41 @@
         peers = tree.links_between_zones(
             self.replica.host, self.zone, hosts, others
         )
-        wanted: dict[str, tuple[str, ...]] = {
+        desired: dict[str, tuple[str, ...]] = {
             f'zone-of-{peer}': (peer,) for peer in peers
         }
-        mates = tree.relays_of(self.zone, [*hosts, self.replica.host])
-        if mates and mates[0] != self.replica.host:
-            wanted['mate'] = (mates[0],)
-        if len(hosts) <= 1 and not wanted and self.bootstrap:
-            # A daemon that knows nobody yet asks the seeds first.
-            wanted['bootstrap'] = self.bootstrap
-        return wanted
+        relays = tree.relays_of(self.zone, [*hosts, self.replica.host])
+        if relays and relays[0] != self.replica.host:
+            desired['mate'] = (relays[0],)
+        if len(hosts) <= 1 and not desired and self.bootstrap:
+            # A daemon that knows no other member contacts the seeds.
+            desired['bootstrap'] = self.bootstrap
+        return desired
 
     def suspected(self) -> frozenset[str]:
-        """Return the hosts of the zone that are under suspicion."""
+        """Return the hosts that are suspected to have failed."""
         return frozenset(
-            one.host
-            for one in self.replica.fleet.live()
-            if one.status is members.Status.SUSPECT
+            record.host
+            for record in self.replica.fleet.live()
+            if record.status is members.Status.SUSPECT
         )
 
     def _open(self, name: str, candidates: tuple[str, ...]) -> None:
-        task = asyncio.ensure_future(self._hold(name, candidates))
+        task = asyncio.ensure_future(self._maintain(name, candidates))
         self.wanted[name] = Uplink(candidates, task)
 
-    def _move(
-        self, name: str, held: Uplink, candidates: tuple[str, ...]
+    def _update_candidates(
+        self, name: str, uplink: Uplink, candidates: tuple[str, ...]
     ) -> None:
-        """Keep a stream whose peer is still the preferred one."""
-        held_peer = held.peer
-        if candidates and held_peer == candidates[0]:
-            held.candidates = candidates
+        """Replace an uplink unless its peer is still the first candidate."""
+        current_peer = uplink.peer
+        if candidates and current_peer == candidates[0]:
+            uplink.candidates = candidates
             return
-        held.task.cancel()
+        uplink.task.cancel()
         self._open(name, candidates)
 
-    async def _hold(self, name: str, candidates: tuple[str, ...]) -> None:
+    async def _maintain(self, name: str, candidates: tuple[str, ...]) -> None:
         choice = pacing.ParentChoice(self.randomness)
         clock = self.replica.clock
         while not tasks.cancelled():
@@ -158,7 +161,7 @@
             if uplink is not None:
                 candidates = uplink.candidates
             if not candidates:
-                await asyncio.sleep(REPLAN_S)
+                await asyncio.sleep(REPLAN_DELAY_S)
                 continue
             choice.keep_only(candidates)
             peer, wait_s = choice.choose(candidates, clock.now())
@@ -167,22 +170,24 @@
                 continue
             if uplink is not None:
                 uplink.peer = peer
-            began = clock.now()
-            refusal = await self._try(name, peer)
+            started_at = clock.now()
+            refusal = await self._try_peer(name, peer)
             now = clock.now()
             if refusal is None:
-                choice.ended(peer, now, now - began)
+                choice.ended(peer, now, now - started_at)
             else:
                 choice.refused(peer, now, refusal.come_back_ms / 1000)
 
-    async def _try(self, name: str, peer: str) -> control_pb2.Refusal | None:
-        """Hold one stream until it ends; return the refusal, if it was."""
+    async def _try_peer(
+        self, name: str, peer: str
+    ) -> control_pb2.Refusal | None:
+        """Run one stream until it ends; return the refusal, if any."""
         try:
-            return await self._exchange(name, peer)
+            return await self._run_stream(name, peer)
         except asyncio.CancelledError:
-            # grpc raises this also when the channel is closed under the
-            # call.  Taken for our own end, it would end the daemon's only
-            # stream for good.
+            # grpc also raises this when the channel is closed during the
+            # call.  Mistaken for a cancellation of this task, it would end
+            # the daemon's only stream for good.
             task = asyncio.current_task()
             if task is not None and task.cancelling():
                 raise
@@ -193,16 +198,16 @@
                 'uplink', peer=peer, to='down', error=str(error)[:200]
             )
         except Exception:
-            # A stream that ends by a mistake of ours must still be opened
-            # again, or the daemon would never hear of another version.
+            # Reopen the stream also after a bug, or the daemon would
+            # never receive another version.
             self.counts.add('uplink.broken')
             eliot.write_traceback()
         return None
 
-    async def _exchange(
+    async def _run_stream(
         self, name: str, peer: str
     ) -> control_pb2.Refusal | None:
-        address = self.addresses(peer)
+        address = self.resolve_address(peer)
         if address is None:
             raise errors.PeridotError(
                 'no address is known', step='uplink.dial', peer=peer
@@ -212,35 +217,36 @@
             self.table,
             self.counts,
             dialled=True,
-            reports=name in REPORTING,
+            reports=name in REPORTING_UPLINKS,
         )
         link.ping = self.ping
         async with self.dial(address) as channel:
             call = control_pb2_grpc.ControlStub(channel).Exchange()
-            async with asyncio.timeout(streams.GREETING_S):
-                first = await self._greet(call, link)
+            async with asyncio.timeout(streams.HELLO_TIMEOUT_S):
+                first = await self._exchange_hello(call, link)
             if first.HasField('refusal'):
                 self.counts.add('uplink.refused')
                 refusal: control_pb2.Refusal = first.refusal
                 return refusal
             link.take(first)
             logs.state_changed('uplink', peer=link.peer, to='up')
-            # Only read(): a call that was read from refuses to be iterated
-            # over as well.
+            # grpc does not allow iteration over a call after read().
             await streams.converse(link, call.read, call.write, self.closing)
         return None
 
-    async def _greet(self, call: Any, link: links.Link) -> Any:
+    async def _exchange_hello(self, call: Any, link: links.Link) -> Any:
         hello = links.greeting(link)
         await call.write(control_pb2.Frame(hello=hello))
         first = await call.read()
         if first is aio.EOF:
             raise errors.PeridotError(
-                'ended at once', step='uplink.greet', peer=link.peer
+                'the peer closed the stream without a Hello',
+                step='uplink.greet',
+                peer=link.peer,
             )
         return first
 
-    def _address(self, peer: str) -> str | None:
+    def _address_of(self, peer: str) -> str | None:
         if ':' in peer:
             return peer
         record = self.replica.fleet.records.get(peer)
@@ -254,7 +260,7 @@
         yield uplinks
     finally:
         uplinks.closing.set()
-        if uplinks.replanning is not None:
-            uplinks.replanning.cancel()
-        held = [uplink.task for uplink in uplinks.wanted.values()]
-        await tasks.end(*held)
+        if uplinks.replan_timer is not None:
+            uplinks.replan_timer.cancel()
+        running = [uplink.task for uplink in uplinks.wanted.values()]
+        await tasks.end(*running)
--- a/src/peridotpost/distribution/wire.py
+++ b/src/peridotpost/distribution/wire.py
@@ -1,7 +1,7 @@
-"""Between protocol buffers on the wire and the data classes inside.
+"""Converts between protobuf messages and the model's data classes.
 
-The border for peers: whatever cannot be read raises ``CodecError`` before
-any of it is used.
+Messages from peers are validated here: an invalid one raises
+``CodecError`` before any of it is used.
 """
 
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 from peridotpost.model import errors
 from peridotpost.model import members
 
-RECORDS_KEPT = 8192
-"""The messages of a whole fleet: a parent in a storm sends the same 5,200
-records to one child after another."""
+MEMBER_CACHE_SIZE = 8192
+"""Holds the messages of a whole fleet: when many children join at once, a
+parent sends the same 5,200 records to each of them."""
 
 
-@functools.lru_cache(maxsize=RECORDS_KEPT)
+@functools.lru_cache(maxsize=MEMBER_CACHE_SIZE)
 def member_to_wire(record: members.MemberRecord) -> control_pb2.Member:
-    """Return the record's message, to be read or copied, never changed."""
+    """Return the record as a cached message, which must not be modified."""
     return control_pb2.Member(
         host=record.host,
         availability_zone=record.availability_zone,
@@ -46,12 +46,14 @@
 
 
 def member_from_wire(message: control_pb2.Member) -> members.MemberRecord:
-    """Read one member's record.
+    """Decode a member record.
 
-    :raises errors.CodecError: a field has no meaning.
+    :raises errors.CodecError: a field is invalid.
     """
     if not message.host or not message.availability_zone:
-        raise errors.CodecError('a member has no name', step='wire.member')
+        raise errors.CodecError(
+            'a member lacks its host or zone', step='wire.member'
+        )
     try:
         return members.MemberRecord(
             host=message.host,
@@ -64,7 +66,7 @@
             probe_port=message.probe_port,
             call_port=message.call_port,
             admin_port=message.admin_port,
-            targets=tuple(_target(one) for one in message.targets),
+            targets=tuple(_target(target) for target in message.targets),
         )
     except ValueError as error:
         raise errors.CodecError(
@@ -98,16 +100,16 @@
 def marks_from_wire(
     messages: Iterable[control_pb2.MemberMark],
 ) -> dict[str, members.MemberMark]:
-    """Read marks by host.
+    """Decode marks by host.
 
-    :raises errors.CodecError: a status has no meaning.
+    :raises errors.CodecError: a status is invalid.
     """
     try:
         return {
-            one.host: members.MemberMark(
-                one.incarnation, members.Status(one.status), one.sequence
+            mark.host: members.MemberMark(
+                mark.incarnation, members.Status(mark.status), mark.sequence
             )
-            for one in messages
+            for mark in messages
         }
     except ValueError as error:
         raise errors.CodecError(str(error), step='wire.marks') from error
@@ -121,12 +123,12 @@
     )
 
 
-def read_bucket_marks(
+def bucket_marks_from_wire(
     message: control_pb2.MemberMarks,
 ) -> tuple[frozenset[int], dict[str, members.MemberMark]]:
-    """Read buckets and the marks that the sender holds in them.
+    """Decode buckets and the marks that the sender holds in them.
 
-    :raises errors.CodecError: a status has no meaning.
+    :raises errors.CodecError: a status is invalid.
     """
     return frozenset(message.buckets), marks_from_wire(message.marks)
 
@@ -164,9 +166,9 @@
 
 
 def update_from_wire(message: control_pb2.Config) -> versions.ConfigUpdate:
-    """Read a configuration update.
+    """Decode a configuration update.
 
-    :raises errors.CodecError: a service's body cannot be read.
+    :raises errors.CodecError: a service's body is invalid.
     """
     changed: dict[str, config.ServiceSpec] = {}
     for entry in message.services:
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -1,4 +1,4 @@
-"""What carries a link, and a relay's watch, when they fail half-way."""
+"""Failures of link streams, uplinks and a relay's watch of the store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -37,23 +37,23 @@
     raise ValueError('a record that cannot be encoded')
 
 
-async def taking_write(frame: control_pb2.Frame) -> None:
+async def discarding_write(frame: control_pb2.Frame) -> None:
     pass
 
 
-def link_of(node: fleets.Node) -> links.Link:
+def make_link(node: fleets.Node) -> links.Link:
     node.replica.clock = timers.TimerService(random.Random(1))
     link = links.Link('peer', node.table, node.counts)
     link.owes_greeting = True
     return link
 
 
-async def test_link_ends_when_its_sender_dies() -> None:
-    # The sender of a link fails, by a mistake of ours or a record that
-    # cannot be encoded, while its receiver still reads.  Left so, the
-    # peer would hear of no further version and never know.
+async def test_link_ends_when_its_sender_fails() -> None:
+    # The sender of a link fails, by a bug or a record that cannot be
+    # encoded, while its receiver still reads.  If the link stayed open, the
+    # peer would receive no further version without noticing.
     node = fleets.Node('here')
-    link = link_of(node)
+    link = make_link(node)
     with pytest.raises(ValueError, match='cannot be encoded'):
         await streams.converse(
             link, never_read, failing_write, asyncio.Event()
@@ -61,11 +61,11 @@
     assert node.table.links == []
 
 
-async def test_link_ends_when_its_peer_falls_silent() -> None:
-    # A peer freezes; its connection stands.  After three beats of our
-    # own without a word from it the link ends, and another is dialled.
+async def test_link_ends_after_missed_heartbeats() -> None:
+    # A peer freezes while its connection stays open.  The link must end
+    # after three heartbeats of this side without a sign of life.
     node = fleets.Node('here')
-    link = link_of(node)
+    link = make_link(node)
     answers = [True, False, False, True, False, False]
 
     async def ping(host: str) -> bool:
@@ -73,14 +73,14 @@
 
     link.ping = ping
     conversing = asyncio.ensure_future(
-        streams.converse(link, never_read, taking_write, asyncio.Event())
+        streams.converse(link, never_read, discarding_write, asyncio.Event())
     )
     await asyncio.sleep(0)
     while answers:
         await link.beat()
         assert not link.over.is_set()
     link.take(control_pb2.Frame(progress=control_pb2.Progress()))
-    for _ in range(links.SILENT_BEATS):
+    for _ in range(links.MAX_MISSED_HEARTBEATS):
         await link.beat()
         assert not link.over.is_set()
     await link.beat()
@@ -90,7 +90,7 @@
 
 @contextlib.asynccontextmanager
 async def silent_listener() -> AsyncIterator[str]:
-    """Take connections and say nothing, as a frozen process does."""
+    """Accept connections but send nothing, as a frozen process does."""
     server = await asyncio.start_server(
         lambda reader, writer: None, '127.0.0.1', 0
     )
@@ -102,25 +102,25 @@
 
 
 @contextlib.asynccontextmanager
-async def parent_serving(node: fleets.Node) -> AsyncIterator[str]:
+async def serve_parent(node: fleets.Node) -> AsyncIterator[str]:
     node.replica.clock = timers.TimerService(random.Random(1))
     servicer = control.ControlServicer(node.replica, node.table, node.counts)
     async with control.serving(servicer, '127.0.0.1', 0) as port:
         yield f'127.0.0.1:{port}'
 
 
-async def held_version(
+async def wait_for_version(
     child: fleets.Node,
     candidates: tuple[str, ...],
     revision: int = 5,
     dial: dialling.Dial = dialling.dial,
 ) -> int:
-    """Hold an uplink to `candidates` until `revision` comes by it."""
-    came = asyncio.Event()
+    """Run an uplink to `candidates` until `revision` is received."""
+    received = asyncio.Event()
 
     def note(change: replicas.FactChange) -> None:
         if change.version is not None and change.version.revision >= revision:
-            came.set()
+            received.set()
 
     child.replica.clock = timers.TimerService(random.Random(1))
     child.replica.changed.subscribe(note)
@@ -130,27 +130,27 @@
     ups.bootstrap = candidates
     ups.dial = dial
     async with uplinks.holding(ups):
-        await asyncio.wait_for(came.wait(), 30)
+        await asyncio.wait_for(received.wait(), 30)
     return child.replica.version.revision
 
 
-async def test_frozen_parent_is_left_for_the_next(
+async def test_uplink_leaves_frozen_parent_for_next_candidate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The preferred parent is frozen: its host takes the connection, and
-    # nobody greets.  The child must give up on it and dial the next.
-    monkeypatch.setattr(streams, 'GREETING_S', 0.2)
+    # The preferred parent is frozen: its kernel accepts the connection but
+    # no Hello follows.  The child must give up on it and dial the next.
+    monkeypatch.setattr(streams, 'HELLO_TIMEOUT_S', 0.2)
     parent = fleets.Node('parent')
     parent.hold(fleets.version(5, {'a': []}))
     child = fleets.Node('child')
-    async with silent_listener() as frozen, parent_serving(parent) as good:
-        assert await held_version(child, (frozen, good)) == 5
+    async with silent_listener() as frozen, serve_parent(parent) as good:
+        assert await wait_for_version(child, (frozen, good)) == 5
 
 
-async def test_stream_whose_channel_is_closed_is_opened_again() -> None:
-    # The channel under a stream is closed, which the library raises in
-    # the reader like a cancellation of the daemon's own task.  The daemon
-    # must dial again, or it would never hear of another version.
+async def test_stream_is_reopened_after_its_channel_was_closed() -> None:
+    # When the channel of a stream is closed, grpc raises CancelledError in
+    # the reader, like a cancellation of the daemon's own task.  The daemon
+    # must dial again, or it would never receive another version.
     parent = fleets.Node('parent')
     parent.hold(fleets.version(5, {'a': []}))
     child = fleets.Node('child')
@@ -171,17 +171,17 @@
             child.replica.changed.subscribe(in_force)
             yield channel
 
-    async with parent_serving(parent) as address:
-        assert await held_version(child, (address,), 6, dial) == 6
+    async with serve_parent(parent) as address:
+        assert await wait_for_version(child, (address,), 6, dial) == 6
     assert child.counts.totals['uplink.cancelled'] == 1
 
 
 async def test_cancellation_while_a_link_ends_is_not_lost() -> None:
-    # A stream ends by itself, and while its tasks are cleared away the
-    # daemon plans another.  The old dialler must end; it was seen to go
-    # on, and a daemon that stopped waited for it for ever.
+    # A stream ends, and while its tasks are cleaned up the uplink is
+    # cancelled for a new plan.  The uplink task must end; it once kept
+    # running, and a stopping daemon waited for it forever.
     node = fleets.Node('here')
-    link = link_of(node)
+    link = make_link(node)
 
     async def slow_to_end() -> control_pb2.Frame:
         try:
@@ -191,7 +191,7 @@
         raise AssertionError
 
     conversing = asyncio.ensure_future(
-        streams.converse(link, slow_to_end, taking_write, asyncio.Event())
+        streams.converse(link, slow_to_end, discarding_write, asyncio.Event())
     )
     await asyncio.sleep(0)
     await asyncio.sleep(0)
@@ -200,60 +200,60 @@
         await conversing
 
 
-async def test_full_parent_is_left_for_the_next() -> None:
+async def test_uplink_leaves_full_parent_for_next_candidate() -> None:
     full = fleets.Node('full')
     parent = fleets.Node('parent')
     parent.hold(fleets.version(5, {'a': []}))
     child = fleets.Node('child')
     async with (
-        parent_serving(full) as first,
-        parent_serving(parent) as second,
+        serve_parent(full) as first,
+        serve_parent(parent) as second,
     ):
         full.replica.clock.now = lambda: 0.0  # type: ignore[method-assign]
         for _ in range(2 * pacing.JOIN_BURST):
-            await refused_or_taken(first)
-        assert await held_version(child, (first, second)) == 5
+            await open_and_end_stream(first)
+        assert await wait_for_version(child, (first, second)) == 5
     assert full.counts.totals['link.refused'] > 0
     assert child.counts.totals['uplink.refused'] == 1
 
 
 @pytest.mark.parametrize(
-    ('held', 'told'),
+    ('held', 'revision'),
     [(fleets.version(5, {'a': []}), 5), (None, 0)],
-    ids=['holds-a-version', 'fresh-itself'],
+    ids=['has-a-version', 'has-no-version'],
 )
-async def test_asked_peer_tells_what_it_holds(
-    held: config.ConfigVersion | None, told: int
+async def test_reconciliation_returns_the_revision_of_the_peer(
+    held: config.ConfigVersion | None, revision: int
 ) -> None:
-    # A herd returns while the platform is out, and its members ask each
-    # other.  An answer from one that holds nothing must not pass for the
-    # fleet's word, or the herd would serve without a configuration.
+    # Many daemons restart while the platform is unavailable and query each
+    # other.  A response from a peer without a version must not count as
+    # the fleet's version, or they would serve without a configuration.
     parent = fleets.Node('parent')
     fresh = fleets.Node('fresh')
     if held is not None:
         parent.hold(held)
-    asking = reconcile.Reconciler(
+    reconciler = reconcile.Reconciler(
         fresh.replica, fresh.counts, 'z1', random.Random(1)
     )
-    async with parent_serving(parent) as address:
-        assert await asking.ask(address) == told
-    assert await asking.ask(address) is None
-    assert fresh.replica.version.revision == told
+    async with serve_parent(parent) as address:
+        assert await reconciler.ask(address) == revision
+    assert await reconciler.ask(address) is None
+    assert fresh.replica.version.revision == revision
 
 
-async def refused_or_taken(address: str) -> None:
-    """Open a stream at `address` and end it, whatever the answer."""
+async def open_and_end_stream(address: str) -> None:
+    """Open a stream to `address` and end it, whether accepted or refused."""
     node = fleets.Node('guest')
     node.replica.clock = timers.TimerService(random.Random(1))
     ups = uplinks.Uplinks(
         node.replica, node.table, node.counts, 'z1', random.Random(1)
     )
     ups.closing.set()
-    await ups._try('parent', address)
+    await ups._try_peer('parent', address)
 
 
 @pytest.mark.parametrize(
-    ('status', 'place'),
+    ('status', 'index'),
     [
         pytest.param(members.Status.ALIVE, 0, id='alive'),
         pytest.param(members.Status.SUSPECT, -1, id='suspected'),
@@ -261,17 +261,17 @@
         pytest.param(members.Status.LEFT, None, id='left'),
     ],
 )
-async def test_uplink_follows_what_became_of_its_parent(
-    status: members.Status, place: int | None
+async def test_uplink_follows_status_of_its_parent(
+    status: members.Status, index: int | None
 ) -> None:
-    # The parent of a daemon is suspected, dies or leaves the fleet.  Its
-    # stream must be taken to another, also where nobody closes it.
+    # A daemon's parent is suspected, dies or leaves the fleet.  The uplink
+    # must move to another parent even if nobody closes the stream.
     child = fleets.Node('child')
     child.replica.clock = timers.TimerService(random.Random(1))
     ups = uplinks.Uplinks(
         child.replica, child.table, child.counts, 'z1', random.Random(1)
     )
-    ups.dial = dial_for_ever
+    ups.dial = never_connecting_dial
     child.learn(fleets.member(f'host-{number}') for number in range(60))
     child.learn([fleets.member('child')])
     async with uplinks.holding(ups):
@@ -282,21 +282,21 @@
         child.learn([fleets.member(parent, status=status)])
         ups.plan()
         after = ups.wanted['parent']
-        if place is None:
+        if index is None:
             assert parent not in after.candidates
         else:
-            assert after.candidates[place] == parent
-        assert bool(before.task.cancelling()) is (place != 0)
+            assert after.candidates[index] == parent
+        assert bool(before.task.cancelling()) is (index != 0)
 
 
 @contextlib.asynccontextmanager
-async def dial_for_ever(address: str) -> AsyncIterator[aio.Channel]:
+async def never_connecting_dial(address: str) -> AsyncIterator[aio.Channel]:
     await asyncio.Event().wait()
     yield aio.insecure_channel(address)
 
 
 class RecordingBackoff:
-    """Waits for nothing and tells when it was asked eight times on end."""
+    """Returns no delay; sets `enough` after eight failures in a row."""
 
     def __init__(self, enough: asyncio.Event) -> None:
         self.failures = 0
@@ -312,8 +312,8 @@
         self.failures = 0
 
 
-class EndlessStore:
-    """A store that reads well and whose watches fail or end at once."""
+class FailingWatchStore:
+    """A store whose reads succeed and whose watches fail or end at once."""
 
     def __init__(self, fails: bool) -> None:
         self.fails = fails
@@ -330,20 +330,20 @@
         self, key: str, from_revision: int
     ) -> AsyncIterator[result.Result[store.KeyValue, errors.StoreError]]:
         if self.fails:
-            raise RuntimeError('a mistake of ours')
+            raise RuntimeError('a bug')
         for item in self.items:
             yield item
 
 
 @pytest.mark.parametrize('fails', [False, True], ids=['ends', 'raises'])
-async def test_store_whose_watches_end_at_once_is_asked_ever_less(
+async def test_watches_that_end_at_once_are_retried_with_backoff(
     fails: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The store answers reads while each watch ends at once, or makes the
-    # relay stumble.  22 relays that ask again without a pause would use
-    # up its 2,000 reads a second; one that stops asking goes blind.
+    # Reads succeed while each watch ends at once or raises.  If the 22
+    # relays retried without a pause, they would use up the store's quota
+    # of 2,000 reads/s; if they stopped, they would miss new versions.
     node = fleets.Node('relay')
-    platform = EndlessStore(fails)
+    platform = FailingWatchStore(fails)
     source = sources.Source(
         platform,  # type: ignore[arg-type]
         'mesh',
@@ -354,14 +354,14 @@
     enough = asyncio.Event()
     backoff = RecordingBackoff(enough)
     monkeypatch.setattr(source, 'backoff', backoff)
-    watching = asyncio.ensure_future(source._watch())
+    watching = asyncio.ensure_future(source._run())
     await asyncio.wait_for(enough.wait(), 30)
     watching.cancel()
     assert platform.reads == backoff.failures
 
 
-class DamagedHeadStore(EndlessStore):
-    """A store whose head is damaged, and whose watch brings a good one."""
+class DamagedHeadStore(FailingWatchStore):
+    """A store whose head is invalid and whose watch yields `items`."""
 
     async def read(
         self, key: str
@@ -369,11 +369,11 @@
         return result.Ok(store.KeyValue(key, b'damaged', 4))
 
 
-async def test_good_version_behind_a_damaged_head_comes_by_the_watch(
+async def test_valid_version_after_a_damaged_head_comes_by_the_watch(
     mesh_text: str,
 ) -> None:
-    # Another client has written over the head, and an operator mends it.
-    # A relay that only read again from time to time would be seconds late.
+    # Another client has overwritten the head, and an operator repairs it.
+    # A relay that only polled the head would be seconds late.
     node = fleets.Node('relay')
     platform = DamagedHeadStore(False)
     source = sources.Source(
@@ -384,13 +384,13 @@
         random.Random(1),
     )
     accepted = versions.Accepted(5, 1, 'id', 'a', '', 0.0, 4, mesh_text)
-    good = store.KeyValue('head', versions.to_value(accepted), 5)
-    platform.items = [result.Ok(good)]
+    valid = store.KeyValue('head', versions.to_value(accepted), 5)
+    platform.items = [result.Ok(valid)]
     assert not await source.read_once()
-    came = asyncio.Event()
-    node.replica.changed.subscribe(lambda _: came.set())
-    watching = asyncio.ensure_future(source._watch())
-    await asyncio.wait_for(came.wait(), 30)
+    changed = asyncio.Event()
+    node.replica.changed.subscribe(lambda _: changed.set())
+    watching = asyncio.ensure_future(source._run())
+    await asyncio.wait_for(changed.wait(), 30)
     watching.cancel()
     assert node.replica.version.revision == 5
     assert node.counts.totals['source.rejected'] >= 2
