--- a/src/peridotpost/model/__init__.py
+++ b/src/peridotpost/model/__init__.py
@@ -1,1 +1,1 @@
-"""Data classes used inside the system; no input or output."""
+"""Data classes shared by all packages; nothing here does I/O."""
--- a/src/peridotpost/model/calls.py
+++ b/src/peridotpost/model/calls.py
@@ -1,4 +1,4 @@
-"""Calls and the three answers that a caller can receive."""
+"""Calls and the three outcomes that a caller can receive."""
 
 import dataclasses
 import enum
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Header:
-    """One header line of a request or an answer."""
+    """One header line of a request or response."""
 
     name: str
     value: str
@@ -16,12 +16,12 @@
 class Call:
     """A caller's request on its way to a target.
 
-    :param budget_ms: time left until the caller's deadline; a duration,
-        since clocks of different hosts differ.
-    :param depth: how many calls of the mesh led to this one.
-    :param key: idempotency key, empty for an idempotent call.
-    :param caller: who sends it, for fair shares; empty if unknown.
-    :param attempt: number of this dispatch of the key; rises.
+    :param budget_ms: time left until the caller's deadline; a duration
+        rather than a timestamp, since clocks of different hosts differ.
+    :param depth: number of calls in the mesh that led to this one.
+    :param key: idempotency key; empty for an idempotent call.
+    :param caller: the calling service, for fair queueing; empty if unknown.
+    :param attempt: number of this dispatch of the key; increases with each.
     """
 
     request_id: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """A target's whole answer."""
+    """A target's complete response."""
 
     status: int
     reason: str
@@ -49,7 +49,7 @@
 
 
 class NotRunReason(enum.StrEnum):
-    """Why a request was refused before any target saw it."""
+    """Why a request was refused before it was sent to any target."""
 
     NO_SERVICE = 'no-such-service'
     NO_TARGET = 'no-target'
@@ -68,10 +68,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """A proof that no target ran the request.
+    """The request is guaranteed not to have run on any target.
 
-    :param retry_after_ms: when to come back; 0 where coming back with the
-        same request is of no use.
+    :param retry_after_ms: delay before a retry; 0 if retrying the same
+        request is useless.
     """
 
     reason: NotRunReason
@@ -82,10 +82,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """A target may have run the request; no answer can be given.
+    """A target may have run the request, but its response is lost.
 
-    :param incident: names the crash in which the target was lost; empty
-        if it was not seen to crash.
+    :param incident: identifier of the crash that lost the target; empty if
+        no crash was observed.
     """
 
     detail: str
--- a/src/peridotpost/model/config.py
+++ b/src/peridotpost/model/config.py
@@ -9,7 +9,7 @@
 
 
 class WorkClass(enum.StrEnum):
-    """How urgent a service's calls are when a target is full."""
+    """Scheduling class of a service's calls when a target is full."""
 
     SHORT = 'short'
     LONG = 'long'
@@ -17,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallRule:
-    """Which calls of a service the rule is about, and what it says.
+    """Overrides the defaults of a service for some of its calls.
 
     :param method: HTTP method, upper case.
-    :param path_prefix: the rule covers paths that begin with it.
+    :param path_prefix: the rule applies to paths that start with it.
     """
 
     method: str
@@ -31,10 +31,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds that hold for each target of a service.
+    """Limits that apply to each target of a service.
 
-    ``queue`` counts requests that wait for a slot; ``body_bytes`` bounds
-    a request's body and ``answer_bytes`` an answer's.
+    ``queue`` is the number of requests that may wait for a slot;
+    ``body_bytes`` limits the body of a request, ``answer_bytes`` that of a
+    response.
     """
 
     queue: int
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceSpec:
-    """What the operators' text says of one service."""
+    """Configuration of one service."""
 
     name: str
     depends_on: tuple[str, ...]
@@ -57,14 +58,17 @@
 
     @functools.cached_property
     def body(self) -> bytes:
-        """Canonical JSON, the form in which a service is sent and hashed."""
-        plain = dataclasses.asdict(self)
+        """Canonical JSON, in which a service is transmitted and hashed."""
+        fields = dataclasses.asdict(self)
         return json.dumps(
-            plain, sort_keys=True, separators=(',', ':')
+            fields, sort_keys=True, separators=(',', ':')
         ).encode()
 
     def rule_for(self, method: str, path: str) -> CallRule:
-        """Return the longest matching rule, else the service's default."""
+        """Return the matching rule with the longest prefix.
+
+        Without a match, return a rule made of the service's defaults.
+        """
         best: CallRule | None = None
         for rule in self.calls:
             if rule.method != method or not path.startswith(rule.path_prefix):
@@ -75,36 +79,37 @@
 
 
 def service_from_body(body: bytes) -> ServiceSpec:
-    """Read what :attr:`ServiceSpec.body` wrote.
+    """Parse the output of :attr:`ServiceSpec.body`.
 
-    :raises ValueError: the bytes are not such a body.
+    :raises ValueError: `body` is not a serialized service.
     """
     try:
-        plain = json.loads(body)
+        fields = json.loads(body)
         return ServiceSpec(
-            name=plain['name'],
-            depends_on=tuple(plain['depends_on']),
-            internal=plain['internal'],
-            idempotent=plain['idempotent'],
-            deadline_ms=plain['deadline_ms'],
-            work_class=WorkClass(plain['work_class']),
-            limits=Limits(**plain['limits']),
-            calls=tuple(CallRule(**rule) for rule in plain['calls']),
+            name=fields['name'],
+            depends_on=tuple(fields['depends_on']),
+            internal=fields['internal'],
+            idempotent=fields['idempotent'],
+            deadline_ms=fields['deadline_ms'],
+            work_class=WorkClass(fields['work_class']),
+            limits=Limits(**fields['limits']),
+            calls=tuple(CallRule(**rule) for rule in fields['calls']),
         )
     except (KeyError, TypeError, UnicodeDecodeError) as error:
-        raise ValueError(f'not a service body: {error!r}') from error
+        raise ValueError(f'not a serialized service: {error!r}') from error
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Interest:
-    """Which part of a configuration a daemon needs.
+    """The part of a configuration that a daemon subscribes to.
 
-    The services it hosts, those they depend on, and, where callers from
-    outside reach it (`ingress`), every service that is not internal.  It
-    is worked out anew for each version, so that a version which adds a
-    dependency arrives together with the service depended on.
+    It covers the hosted services, their dependencies and, if external
+    callers reach the daemon (`ingress`), every service that is not internal.
+    It is evaluated again for each version, so that a version which adds a
+    dependency is delivered together with the service depended on.
 
-    :param everything: the whole, as relays and other parents hold it.
+    :param everything: the whole configuration, as relays and other parents
+        hold it.
     """
 
     everything: bool = False
@@ -117,11 +122,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigVersion:
-    """One accepted version, or a daemon's scope of it.
+    """One accepted version, or the part of it in a daemon's scope.
 
-    :param revision: the store's revision of the accepting write; versions
-        are ordered by it and by nothing else.
-    :param write_id: names the accepting write, see ``platform.versions``.
+    :param revision: store revision of the accepting write; the only order
+        of versions.
+    :param write_id: identifies the accepting write, see ``store.versions``.
     """
 
     revision: int
@@ -131,16 +136,16 @@
 
     @functools.cached_property
     def digest(self) -> bytes:
-        """SHA-256 over the accepting write and all that is held, in order."""
-        state = hashlib.sha256(f'{self.revision} {self.write_id}\0'.encode())
-        state.update('\0'.join(self.availability_zones).encode())
+        """SHA-256 of the accepting write, the zones and the services."""
+        sha256 = hashlib.sha256(f'{self.revision} {self.write_id}\0'.encode())
+        sha256.update('\0'.join(self.availability_zones).encode())
         for name in sorted(self.services):
-            state.update(b'\0')
-            state.update(self.services[name].body)
-        return state.digest()
+            sha256.update(b'\0')
+            sha256.update(self.services[name].body)
+        return sha256.digest()
 
     def scoped(self, interest: Interest) -> 'ConfigVersion':
-        """Return the version cut down to what `interest` needs."""
+        """Return the version reduced to the services in `interest`."""
         if interest.everything:
             return self
         needed = set(interest.hosted)
--- a/src/peridotpost/model/errors.py
+++ b/src/peridotpost/model/errors.py
@@ -1,12 +1,12 @@
-"""Errors that say at which step and towards which peer they arose."""
+"""Exceptions that carry the failed step and the peer involved."""
 
 
 class PeridotError(Exception):
-    """Base of every error the system raises on purpose.
+    """Base class of all exceptions that the system raises deliberately.
 
-    :param message: what went wrong and what to do next.
+    :param message: what went wrong and how to fix it.
     :param step: the step that failed, such as ``'store.read'``.
-    :param peer: address or name of the other side, empty if there is none.
+    :param peer: address or name of the remote side; empty if there is none.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = '') -> None:
@@ -16,37 +16,37 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        towards = f' ({self.peer})' if self.peer else ''
-        return f'{self.step}{towards}: {self.message}'
+        peer = f' ({self.peer})' if self.peer else ''
+        return f'{self.step}{peer}: {self.message}'
 
 
 class StoreError(PeridotError):
-    """The platform's key-value service did not give a usable answer."""
+    """The platform's key-value store gave no usable response."""
 
 
 class StoreUnavailable(StoreError):
-    """No answer came; a write may or may not have taken effect."""
+    """The store did not respond; a write may or may not have been applied."""
 
 
 class StoreGarbage(StoreError):
-    """An answer came that does not follow the service's protocol."""
+    """The store's response violates its protocol."""
 
 
 class StoreRefused(StoreError):
-    """The service said that it did not do what was asked."""
+    """The store rejected the request and did not apply it."""
 
 
 class StoreOverloaded(StoreRefused):
-    """The call was over the service's quota; repeat it later."""
+    """The request exceeded the store's quota; it may be retried later."""
 
 
 class LeaseLapsed(StoreRefused):
-    """A write named a lease that is no longer there."""
+    """A write referred to a lease that has expired."""
 
 
 class StoreCompacted(StoreError):
-    """The revision from which a watch was to begin is no longer kept."""
+    """The start revision of a watch has been compacted."""
 
 
 class CodecError(PeridotError):
-    """A message from a peer could not be read."""
+    """A message from a peer could not be decoded."""
--- a/src/peridotpost/model/forwarding.py
+++ b/src/peridotpost/model/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests on their way to a target, and the three ways in which they end."""
+"""Requests that are forwarded to a target, and their three outcomes."""
 
 from collections.abc import Callable
 import dataclasses
@@ -6,7 +6,7 @@
 
 
 class Refusal(enum.StrEnum):
-    """Why a request was refused; each value proves that it has not run."""
+    """Why a request was refused; with any of these it has not run."""
 
     NO_CONFIG = 'no-config'
     NO_TARGET = 'no-target'
@@ -22,9 +22,10 @@
 
 
 class Repeat(enum.IntEnum):
-    """Why a request comes to a target that came to another one before.
+    """Why a request is sent to a target after another one had got it.
 
-    ``AGAIN``: that one turned it away, or its answer was lost.
+    ``AGAIN``: the other target refused it, or its response was lost.
+    ``AFTER_FAILURE``: the other target's response was a failure.
     """
 
     NONE = 0
@@ -34,9 +35,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetAnswer:
-    """A target's whole answer, checked to belong to its request.
+    """A target's complete response, verified to belong to its request.
 
-    :param head: its header lines without those of the one connection.
+    :param head: header lines without hop-by-hop headers.
     """
 
     status: int
@@ -47,10 +48,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A proof that no target ran the request, nor will.
+    """The request has not run on any target and will not.
 
-    :param retry_after_s: when a slot is expected to be free; 0 if unknown.
-    :param arrived: whether the request reached the target, which refused.
+    :param retry_after_s: time until a slot is expected to be free; 0 if
+        unknown.
+    :param reached_target: whether the target itself refused the request.
     """
 
     reason: Refusal
@@ -60,10 +62,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """The target may have run the request; its answer can't be had.
+    """The target may have run the request, but its response is lost.
 
-    :param detail: what was seen, for the log.
-    :param crashed: whether the target itself was seen to end.
+    :param detail: what was observed, for the log.
+    :param crashed: whether the target's process was observed to terminate.
     """
 
     detail: str
@@ -79,26 +81,29 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Order:
-    """One dispatch of a request to one target, by way of its host's guard.
-
-    :param head: header lines as the target gets them, without those that
-        the guard adds (deadline, instance) and without body framing.
-    :param deadline: when the caller or the route's timeout gives up, by
-        the clock of the process that holds the order (seconds since boot).
-    :param objective: until when an answer meets the route's objective.
-    :param rank: of the route, 0 is the most urgent.
-    :param last: no other target will be asked if this one refuses.
-    :param done: gets the outcome, exactly once.
-    :param run_s: the time that its run was expected to take when it started.
-    :param repeat: why it comes once more; a guard counts these.
-    :param inherited: what a request that comes first counts for as a
-        repeat, 0 to 1; see ``decisions.budget``.
-    :param call_failed: whether a call that its run made failed.
-    :param body_later: whether the body is sent only when the guard that takes
-        the request asks for it.
-    :param fetch_body: asks for a body that was not sent yet; None with one.
-    :param may_move: whether another target would be asked if this one
-        were given up now.
+    """One dispatch of a request to one target, through its host's guard.
+
+    :param head: header lines as the target receives them, without body
+        framing and without the headers that the guard adds (deadline,
+        instance).
+    :param deadline: expiry of the caller's deadline or the route's timeout,
+        whichever is earlier, in seconds since boot of this host.
+    :param objective: latest time of a response that meets the objective of
+        the route.
+    :param rank: priority of the route; 0 is the most urgent.
+    :param last: whether no other target is tried if this one refuses.
+    :param done: called with the outcome, exactly once.
+    :param run_s: expected run time, as estimated when the run started.
+    :param retry_cause: why the request is retried; the guard counts retries.
+    :param inherited_retry_weight: what a request counts for as a retry, 0 to
+        1, when it is sent for the first time; see ``decisions.budget``.
+    :param call_failed: whether a call made by the run failed.
+    :param body_deferred: whether the body is sent only after the guard has
+        accepted the request and asks for it.
+    :param fetch_body: requests a body that was not sent yet; None if the
+        body is present.
+    :param may_move: whether another target would be tried if this dispatch
+        were abandoned now.
     """
 
     number: int
@@ -128,14 +133,14 @@
 
     @property
     def repeat_weight(self) -> float:
-        """What its run counts for as a repeat, 0 to 1."""
+        """What the run counts for as a retry, 0 to 1."""
         return 1.0 if self.repeat else self.inherited
 
     def settle(self, outcome: Outcome) -> None:
-        """Hand over the outcome; a second one is dropped.
+        """Report the outcome; a second one is dropped.
 
-        A timeout and an answer may come in the same turn of the loop; the
-        caller must see one of them only.
+        A timeout and a response may occur in the same iteration of the event
+        loop; the caller must see only one of them.
         """
         if self.settled:
             return
--- a/src/peridotpost/model/instances.py
+++ b/src/peridotpost/model/instances.py
@@ -1,10 +1,12 @@
-"""Targets' incarnations, as they announce themselves, and hosts' records."""
+"""Announcements of target instances, and the records of hosts."""
 
 import dataclasses
 import enum
 
 
 class InstanceState(enum.StrEnum):
+    """Lifecycle state that a target announces."""
+
     READY = 'ready'
     DRAINING = 'draining'
     GONE = 'gone'
@@ -12,12 +14,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a target says of itself.
+    """A target's announcement of its own state.
 
-    :param born_ms: its start; tells two incarnations under one id apart.
-    :param sequence: rises with each announcement of one incarnation.
-    :param version: of the target's software.
-    :param cold_s: for how long it stays slow after its start.
+    :param started_ms: start time, which distinguishes two incarnations with
+        the same id.
+    :param sequence: increases with each announcement of an incarnation.
+    :param version: version of the target's software.
+    :param cold_s: warm-up time after the start, during which it is slow.
     """
 
     instance: str
@@ -34,9 +37,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostRecord:
-    """How a host's daemon is reached, as it writes to the store.
+    """Address of a host's daemon, as the daemon writes it to the store.
 
-    :param incarnation: rises with each start of the daemon.
+    :param incarnation: increases with each start of the daemon.
     """
 
     host: str
@@ -48,10 +51,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """What a guard tells others of its target and of itself.
+    """What a guard reports to other daemons about itself and its target.
 
-    :param ready: whether new work may be sent.
-    :param version: of the target's software.
+    :param ready: whether new requests may be sent.
+    :param version: version of the target's software.
     """
 
     service: str
--- a/src/peridotpost/model/members.py
+++ b/src/peridotpost/model/members.py
@@ -1,11 +1,11 @@
-"""Members of the fleet and the targets that they announce."""
+"""Records of the fleet's members and of the targets they announce."""
 
 import dataclasses
 import enum
 
 
 class Status(enum.IntEnum):
-    """A member's state; a higher one overrides at the same incarnation."""
+    """A member's state; at equal incarnations the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -14,7 +14,7 @@
 
 
 class TargetState(enum.IntEnum):
-    """A target's state as its own daemon knows it."""
+    """A target's state as known to the daemon of its host."""
 
     COLD = 0
     READY = 1
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetRecord:
-    """A target as announced: the service it runs and its slots."""
+    """An announced target, with its service and number of slots."""
 
     service: str
     name: str
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class MemberMark:
-    """Orders two records of one member; the higher one is the later."""
+    """Sort key of records of the same member; the highest is the latest."""
 
     incarnation: int
     status: Status
@@ -42,13 +42,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """All that the fleet knows of one daemon.
+    """What the fleet knows about one daemon.
 
-    A daemon is the only writer of its own content; others change only
-    `status`, to suspect or dead, at the incarnation they saw.
+    Only the daemon itself changes the content of its record; others change
+    only `status`, to suspect or dead, for the incarnation they observed.
 
-    :param incarnation: rises with each start and each refuted suspicion.
-    :param sequence: rises with each change of content.
+    :param incarnation: increases with each start and each refuted suspicion.
+    :param sequence: increases with each change of the content.
     """
 
     host: str
@@ -69,7 +69,7 @@
 
     @property
     def live(self) -> bool:
-        """Whether the member still takes part: alive or merely suspected."""
+        """Whether the member is alive or merely suspected."""
         return self.status in (Status.ALIVE, Status.SUSPECT)
 
     @property
--- a/src/peridotpost/model/mesh.py
+++ b/src/peridotpost/model/mesh.py
@@ -1,7 +1,7 @@
-"""Routes by host and path prefix, as a proxy holds them.
+"""Routes by host and path prefix, as used by a proxy.
 
-One ``MeshConfig`` is one whole version.  It is immutable: a daemon swaps
-the reference, so that no request ever sees parts of two versions.
+A ``MeshConfig`` holds one complete version and is immutable: a daemon
+replaces the reference, so that no request sees a mix of two versions.
 """
 
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """One service of a split and its part of the requests."""
+    """A service of a traffic split and its share of the requests."""
 
     service: str
     weight: float
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PathRoute:
-    """Where the requests under one path prefix of one host go.
+    """Route of the requests under one path prefix of one host.
 
     :param idempotent: whether a request may run more than once.
-    :param timeout_s: how long the operator lets a request take.
-    :param objective_s: the answer time that the operator aims at.
-    :param rank: 0 is the most urgent.
-    :param max_attempts: targets that one request may be sent to.
+    :param timeout_s: maximum duration of a request.
+    :param objective_s: objective for the response time.
+    :param rank: priority; 0 is the most urgent.
+    :param max_attempts: number of targets that a request may be sent to.
     """
 
     name: str
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceLimits:
-    """What a service's targets bear."""
+    """Limits that apply to each target of a service."""
 
     name: str
     max_connections: int
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take or stay idle."""
+    """Limits on the size, duration and idle time of callers' connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 67_108_864
@@ -58,7 +58,7 @@
 
 
 class MeshConfig:
-    """One whole configuration version."""
+    """One complete, immutable configuration version."""
 
     def __init__(
         self,
@@ -73,16 +73,20 @@
         self.by_host: dict[str, list[PathRoute]] = {}
         for route in routes:
             self.by_host.setdefault(route.host, []).append(route)
-        # Longest prefix first, so that the first match is the right one.
-        for held in self.by_host.values():
-            held.sort(key=lambda one: -len(one.prefix))
+        # Longest prefix first, so that the first match is the most specific.
+        for host_routes in self.by_host.values():
+            host_routes.sort(key=lambda route: -len(route.prefix))
 
     def find(self, host: str, path: str) -> PathRoute | None:
-        """Return the route with the longest prefix that begins `path`."""
+        """Return the route with the longest prefix that matches `path`."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def routes(self) -> list[PathRoute]:
-        return [one for held in self.by_host.values() for one in held]
+        return [
+            route
+            for host_routes in self.by_host.values()
+            for route in host_routes
+        ]
--- a/src/peridotpost/model/release.py
+++ b/src/peridotpost/model/release.py
@@ -1,14 +1,15 @@
-"""Releases: moving a service's traffic to targets of another version."""
+"""Releases, which move a service's traffic to targets of another version."""
 
 import dataclasses
 import enum
 
 
 class Stage(enum.IntEnum):
-    """How far a release is; the last two are final.
+    """Stage of a release; the last two are final.
 
-    ``CANARY``: the new version gets a small share.  ``SHIFT``: its share
-    grows.  ``DRAIN``: the old version gets nothing new and ends its runs.
+    ``CANARY``: the new version gets a small share of the requests.
+    ``SHIFT``: its share is increased.  ``DRAIN``: the old version gets no new
+    requests and finishes those that are running.
     """
 
     CANARY = 1
@@ -24,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseOrder:
-    """An operator's order.
+    """An operator's order to release a version.
 
-    :param version: of the targets that are to take the service over.
-    :param duration_s: from the order to its deadline.
-    :param revision: of the store, when the order was written.
+    :param version: version of the targets that take over the service.
+    :param duration_s: time from the order to its deadline.
+    :param revision: store revision of the order's write.
     """
 
     service: str
@@ -39,15 +40,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseState:
-    """What a coordinator tells all daemons of a release.
-
-    :param epoch: of the coordinator; a later one has a higher one.
-    :param number: rises with each state of one coordinator.
-    :param share: of the service's requests for the new version, 0 to 1.
-    :param focus: host whose target gets the canary share; empty for all.
-    :param elapsed_s: since the order.
-    :param coordinator: host of the daemon that decides.
-    :param banned: versions of earlier orders that did not complete.
+    """State of a release, which the coordinator sends to all daemons.
+
+    :param epoch: epoch of the coordinator; a later coordinator has a higher
+        one.
+    :param number: increases with each state of the same coordinator.
+    :param share: fraction of the service's requests that the new version
+        gets, 0 to 1.
+    :param canary_host: host whose target gets the canary share; empty for
+        all hosts.
+    :param elapsed_s: time since the order.
+    :param coordinator: host of the coordinating daemon.
+    :param rejected_versions: versions of earlier orders that did not
+        complete.
     """
 
     order: ReleaseOrder
@@ -61,11 +66,11 @@
     banned: tuple[str, ...] = ()
 
     def supersedes(self, known: 'ReleaseState | None') -> bool:
-        """Whether this state replaces the one that is known.
+        """Whether this state replaces the `known` one.
 
-        A final state holds against any other of its order: a coordinator
-        that was paused must not send work to a version that was rolled
-        back, nor to one whose targets were stopped.
+        A final state overrides every other state of its order, whatever the
+        epoch: a coordinator that was paused must not send requests to a
+        version that was rolled back or whose targets were stopped.
         """
         if known is None or known.order.revision != self.order.revision:
             return known is None or known.order.revision < self.order.revision
@@ -76,9 +81,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseStatus:
-    """The outcome as the platform's store holds it.
+    """Status of a release as recorded in the platform's store.
 
-    :param revision: of the store, when it was written; 0 if it was not.
+    :param revision: store revision of its write; 0 if it was not written.
     """
 
     stage: Stage | None
@@ -88,10 +93,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RouteRuns:
-    """Runs of one route on one target since an order.
+    """Counts of a route's runs on one target since an order.
 
-    :param failed: ended with a failure of the target's own.
-    :param by_time: counts by run time, see ``decisions.verdict``.
+    :param failed: runs that ended with a failure of the target itself.
+    :param by_run_time: histogram of run times, see ``decisions.verdict``.
     """
 
     runs: int = 0
@@ -101,10 +106,10 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetReport:
-    """What a guard tells the coordinator of its target.
+    """What a guard reports to the coordinator about its target.
 
-    :param drained: whether it refuses new work and runs none, as the
-        stage ``DRAIN`` asks of the old version.
+    :param drained: whether it refuses new requests and runs none, as the
+        ``DRAIN`` stage requires of the old version.
     """
 
     host: str
--- a/src/peridotpost/model/routing.py
+++ b/src/peridotpost/model/routing.py
@@ -1,4 +1,4 @@
-"""The immutable routing table that a daemon swaps whole."""
+"""The immutable routing table, which a daemon replaces as a whole."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A target that calls can be sent to, by way of its host's daemon."""
+    """A target that can be called through the daemon of its host."""
 
     host: str
     availability_zone: str
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A service and the targets that may serve it."""
+    """A service and the endpoints that calls to it may be sent to."""
 
     spec: config.ServiceSpec
     endpoints: tuple[Endpoint, ...]
@@ -31,13 +31,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """Every route of one configuration version, complete in itself."""
+    """All routes of one configuration version; self-contained."""
 
     revision: int
     routes: Mapping[str, Route]
 
     def may_call(self, from_service: str, to_service: str) -> bool:
-        """Whether the text lets `from_service` call `to_service`."""
+        """Whether `from_service` declares a dependency on `to_service`."""
         caller = self.routes.get(from_service)
         return caller is not None and to_service in caller.spec.depends_on
 
@@ -46,17 +46,18 @@
 
 
 class DanglingRoute(ValueError):
-    """A table would name a service or target that its holder lacks."""
+    """A routing table refers to an unknown service or host."""
 
 
 def compile_table(
     version: config.ConfigVersion, fleet: Iterable[members.MemberRecord]
 ) -> RoutingTable:
-    """Build the whole table for `version` over the live members of `fleet`.
+    """Build the table for `version` from the live members of `fleet`.
 
-    ``decisions.tables`` keeps it up; this is what it must come to.
+    ``decisions.tables`` updates a table incrementally; the result must equal
+    the one built here.
 
-    :raises DanglingRoute: the result breaks its own invariant.
+    :raises DanglingRoute: the result violates its invariant.
     """
     live = [member for member in fleet if member.live]
     routes = {
@@ -70,7 +71,7 @@
 def route_over(
     spec: config.ServiceSpec, live: Iterable[members.MemberRecord]
 ) -> Route:
-    """Return the route to those of the `live` members that take calls."""
+    """Return the route to the targets of `live` that accept calls."""
     endpoints = [
         _endpoint(member, target)
         for member in live
@@ -78,7 +79,7 @@
         if target.service == spec.name
         and target.state is not members.TargetState.DRAINING
     ]
-    endpoints.sort(key=lambda one: (one.host, one.name))
+    endpoints.sort(key=lambda endpoint: (endpoint.host, endpoint.name))
     return Route(spec, tuple(endpoints))
 
 
@@ -99,10 +100,12 @@
 def check_no_dangling(
     table: RoutingTable, version: config.ConfigVersion, hosts: set[str]
 ) -> None:
-    """Raise :class:`DanglingRoute` unless every route has what it names."""
+    """Raise :class:`DanglingRoute` if a route refers to an unknown part."""
     for name, route in table.routes.items():
         if version.services.get(name) is not route.spec:
-            raise DanglingRoute(f'route {name!r} has no service')
+            raise DanglingRoute(f'route {name!r} refers to an unknown service')
         for endpoint in route.endpoints:
             if endpoint.host not in hosts:
-                raise DanglingRoute(f'{name!r} leads to {endpoint.host!r}')
+                raise DanglingRoute(
+                    f'route {name!r} refers to unknown host {endpoint.host!r}'
+                )
