--- a/src/peridotpost/border/__init__.py
+++ b/src/peridotpost/border/__init__.py
@@ -1,1 +1,1 @@
-"""Validated models for everything that comes from outside."""
+"""Validated models of all external input."""
--- a/src/peridotpost/border/document.py
+++ b/src/peridotpost/border/document.py
@@ -1,7 +1,7 @@
-"""Reads JSON or YAML and remembers on which line each value stands.
+"""Reads JSON or YAML and records the line number of each value.
 
-Errors from pydantic carry a path; this module adds the line, so that an
-operator is pointed at the place to mend.
+Errors from pydantic contain a path; this module adds the line, so that an
+operator finds the place to correct.
 """
 
 import dataclasses
@@ -13,14 +13,14 @@
 
 Path = tuple[str | int, ...]
 MAX_DEPTH = 32
-"""Nesting bound: deeper texts are mistakes or attacks on the parser."""
+"""Deeper nesting is a mistake or an attack on the parser."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong in a document.
+    """An error in a document.
 
-    :param line: counted from 1; 0 where no line is known.
+    :param line: line number, from 1; 0 if it is unknown.
     """
 
     file: str
@@ -29,13 +29,13 @@
     message: str
 
     def __str__(self) -> str:
-        place = f'{self.file}:{self.line}' if self.line else self.file
-        where = f' {self.path}:' if self.path else ''
-        return f'{place}:{where} {self.message}'
+        location = f'{self.file}:{self.line}' if self.line else self.file
+        path = f' {self.path}:' if self.path else ''
+        return f'{location}:{path} {self.message}'
 
 
 class DocumentError(ValueError):
-    """A document is wrong; `problems` lists every place."""
+    """A document is invalid; `problems` lists every error found."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__('\n'.join(str(problem) for problem in problems))
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """Plain data and the line of each path in it."""
+    """Parsed data and the line number of each path in it."""
 
     file: str
     data: Any
@@ -57,32 +57,33 @@
             if path[:length] in self.lines:
                 line = self.lines[path[:length]]
                 break
-        return Problem(self.file, _spell(path), line, message)
+        return Problem(self.file, _format_path(path), line, message)
 
     def problems_of(self, error: pydantic.ValidationError) -> list[Problem]:
-        """Translate pydantic's errors into problems with lines."""
+        """Convert pydantic's errors into problems with line numbers."""
         return [
-            self.problem(tuple(entry['loc']), _spell_pydantic(entry))
-            for entry in error.errors()
+            self.problem(tuple(details['loc']), _pydantic_message(details))
+            for details in error.errors()
         ]
 
 
-def _spell(path: Path) -> str:
+def _format_path(path: Path) -> str:
     return '.'.join(str(part) for part in path)
 
 
-def _spell_pydantic(entry: Any) -> str:
-    kind = entry['type']
-    if kind == 'missing':
+def _pydantic_message(details: Any) -> str:
+    error_type = details['type']
+    if error_type == 'missing':
         return 'is missing; add it'
-    if kind == 'extra_forbidden':
-        return 'is not a known field; remove it or mend its spelling'
-    message = str(entry['msg'])
-    return f'{message[0].lower()}{message[1:]} (found {entry["input"]!r:.80})'
+    if error_type == 'extra_forbidden':
+        return 'is not a known field; remove it or correct its spelling'
+    message = str(details['msg'])
+    value = f'{details["input"]!r:.80}'
+    return f'{message[0].lower()}{message[1:]} (found {value})'
 
 
 def read_yaml(text: str, file: str) -> Document:
-    """Read YAML without anchors, aliases, tags or repeated keys.
+    """Parse YAML without aliases, custom tags or duplicate keys.
 
     :raises DocumentError: the text is not such a document.
     """
@@ -90,10 +91,10 @@
         node = yaml.compose(text, Loader=yaml.CSafeLoader)
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
-        # At the end of the text the parser points one line past it.
-        last = text.count('\n') + 1
-        line = min(mark.line + 1, last) if mark is not None else 0
-        message = error.problem or 'is not YAML'
+        # An error at the end of the text is reported one line past it.
+        last_line = text.count('\n') + 1
+        line = min(mark.line + 1, last_line) if mark is not None else 0
+        message = error.problem or 'is not valid YAML'
         raise DocumentError([Problem(file, '', line, message)]) from error
     except yaml.YAMLError as error:
         raise DocumentError([Problem(file, '', 0, str(error))]) from error
@@ -107,9 +108,9 @@
 
 
 def read_json(text: str, file: str) -> Document:
-    """Read JSON.
+    """Parse JSON without duplicate keys.
 
-    :raises DocumentError: the text is not JSON, or repeats a key.
+    :raises DocumentError: the text is not such a document.
     """
     try:
         json.loads(text)
@@ -119,29 +120,31 @@
     except RecursionError as error:
         problem = Problem(file, '', 0, 'is nested too deeply')
         raise DocumentError([problem]) from error
-    # JSON without tabs is YAML, and YAML's nodes know their lines.
+    # JSON without tabs is valid YAML, whose nodes have line numbers.
     return read_yaml(text.replace('\t', ' '), file)
 
 
 class _NodeReader:
-    """Turns YAML nodes into plain data, collecting lines and problems."""
+    """Converts YAML nodes to plain data; collects lines and problems."""
 
     def __init__(self, file: str) -> None:
         self.file = file
         self.lines: dict[Path, int] = {}
         self.problems: list[Problem] = []
-        self.seen: set[int] = set()
+        self.visited: set[int] = set()
         self.loader = yaml.CSafeLoader('')
 
     def read(self, node: yaml.Node, path: Path) -> Any:
         self.lines[path] = node.start_mark.line + 1
         if len(path) > MAX_DEPTH:
             return self._reject(node, path, 'is nested too deeply')
-        if id(node) in self.seen:
-            # A text of a few hundred bytes can name billions of values
-            # through aliases of aliases; none is needed here.
-            return self._reject(node, path, 'repeats an anchor; write it out')
-        self.seen.add(id(node))
+        if id(node) in self.visited:
+            # With nested aliases, a text of a few hundred bytes can expand to
+            # billions of values.
+            return self._reject(
+                node, path, 'is an alias; write the value out instead'
+            )
+        self.visited.add(id(node))
         if isinstance(node, yaml.MappingNode):
             return self._read_mapping(node, path)
         if isinstance(node, yaml.SequenceNode):
@@ -150,8 +153,8 @@
                 for index, child in enumerate(node.value)
             ]
         try:
-            build = self.loader.construct_object
-            return build(node)
+            construct = self.loader.construct_object
+            return construct(node)
         except (yaml.YAMLError, ValueError) as error:
             return self._reject(node, path, f'is not a plain value: {error}')
 
@@ -160,14 +163,16 @@
         for key_node, value_node in node.value:
             key = key_node.value
             if not isinstance(key, str):
-                self._reject(key_node, path, 'has a key that is no string')
+                self._reject(key_node, path, 'has a key that is not a string')
                 continue
             if key in data:
-                self._reject(key_node, (*path, key), 'stands twice')
+                self._reject(key_node, (*path, key), 'is a duplicate key')
                 continue
             data[key] = self.read(value_node, (*path, key))
         return data
 
     def _reject(self, node: yaml.Node, path: Path, message: str) -> None:
         line = node.start_mark.line + 1
-        self.problems.append(Problem(self.file, _spell(path), line, message))
+        self.problems.append(
+            Problem(self.file, _format_path(path), line, message)
+        )
--- a/src/peridotpost/border/loglines.py
+++ b/src/peridotpost/border/loglines.py
@@ -1,4 +1,4 @@
-"""Log lines of ``peridot-proxy`` read back: the fields of ``kernel.lines``."""
+"""Parses the log lines of ``peridot-proxy``, written by ``kernel.lines``."""
 
 from collections.abc import Iterator
 import dataclasses
@@ -9,18 +9,18 @@
 from peridotpost.model import errors
 
 
-class NoLogs(errors.PeridotError):
-    """The folder holds no log lines."""
+class NoLogLines(errors.PeridotError):
+    """The directory contains no readable log lines."""
 
 
 class LogLine(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line; fields that an event does not have are empty.
+    """A log line; fields that do not apply to the event are empty.
 
-    :param at: Unix seconds by the clock of the host that wrote it.
-    :param request: the attempt id of the caller.
-    :param tried: hosts whose guards were asked, in that order.
-    :param left_out: lines that were skipped before this one.
-    :param dropped: lines that a full pipe lost before this one.
+    :param at: Unix time in seconds, by the clock of the host that wrote it.
+    :param request: attempt id of the caller's request.
+    :param tried: hosts whose guards were asked, in this order.
+    :param left_out: number of lines skipped by rate limiting before this one.
+    :param dropped: number of lines lost to a full pipe before this one.
     """
 
     at: float
@@ -65,9 +65,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Logs:
-    """The lines of a fleet in order of time.
+    """The log lines of a fleet, sorted by time.
 
-    :param unreadable: lines that are no log lines.
+    :param unreadable: number of lines that are not log lines.
     """
 
     lines: list[LogLine]
@@ -75,33 +75,33 @@
 
     @property
     def left_out(self) -> int:
-        return sum(one.left_out + one.dropped for one in self.lines)
+        return sum(line.left_out + line.dropped for line in self.lines)
 
 
 def read_folder(folder: pathlib.Path) -> Logs:
-    """Read all files of a folder.
+    """Read all files in a directory.
 
-    What a collector put before the JSON of a line is skipped.
+    A prefix that a log collector put before the JSON of a line is ignored.
 
-    :raises NoLogs: with the folder, where no line is readable.
+    :raises NoLogLines: no line in `folder` is readable.
     """
-    found: list[LogLine] = []
+    lines: list[LogLine] = []
     unreadable = 0
-    for line in _raw_lines(folder):
+    for raw in _raw_lines(folder):
         try:
-            found.append(DECODER.decode(line[line.index(b'{') :]))
+            lines.append(DECODER.decode(raw[raw.index(b'{') :]))
         except (ValueError, msgspec.MsgspecError):
-            # Counted and told: other programs write to the same folder.
+            # Counted and reported: other programs may write to this directory.
             unreadable += 1
-    if not found:
-        raise NoLogs(
-            'no readable log line; name a folder with the standard output '
+    if not lines:
+        raise NoLogLines(
+            'no readable log line; give a directory with the standard output '
             'of each daemon in a file',
             step='logs.read',
             peer=str(folder),
         )
-    found.sort(key=lambda one: one.at)
-    return Logs(found, unreadable)
+    lines.sort(key=lambda line: line.at)
+    return Logs(lines, unreadable)
 
 
 def _raw_lines(folder: pathlib.Path) -> Iterator[bytes]:
--- a/src/peridotpost/border/proxy.py
+++ b/src/peridotpost/border/proxy.py
@@ -1,7 +1,7 @@
-"""Settings of ``peridot-proxy``: JSON, checked before anything is opened.
+"""Settings of ``peridot-proxy``, validated before any resource is opened.
 
-Read with msgspec, which checks as it decodes and needs a quarter of the
-memory of the validator that the operators' programs use.
+They are JSON and decoded by msgspec, which validates while decoding and needs
+a quarter of the memory of pydantic, which the operators' programs use.
 """
 
 import pathlib
@@ -17,21 +17,22 @@
 
 
 class BadSettings(errors.PeridotError):
-    """The settings file can't be used; says which field and why."""
+    """The settings file is invalid; the message names the field."""
 
 
-class _Checked(msgspec.Struct, frozen=True):
-    """Fields that are not known are left alone: newer platforms add some."""
+class _Lenient(msgspec.Struct, frozen=True):
+    """Ignores unknown fields, which newer platforms may add."""
 
 
-class Listen(_Checked, frozen=True):
-    """Addresses, each ``IP:PORT``.
+class Listen(_Lenient, frozen=True):
+    """Listen addresses, each ``IP:PORT``.
 
-    :param requests: for callers on this host, and for its target.
-    :param readiness: asked for whether callers may be sent here.
-    :param announcements: where the host's target tells how it is.
-    :param peers: for other daemons.
-    :param metrics: counters and histograms; empty for none.
+    :param requests: requests of callers on this host and of its target.
+    :param readiness: readiness probes, which ask whether this host accepts
+        requests of callers.
+    :param announcements: announcements of the host's target.
+    :param peers: connections from other daemons.
+    :param metrics: counters and histograms; empty to disable.
     """
 
     requests: str
@@ -41,12 +42,12 @@
     metrics: str = ''
 
 
-class Retries(_Checked, frozen=True):
-    """Bound on repeats at one service, over the fleet, in any window.
+class Retries(_Lenient, frozen=True):
+    """Retry budget of a service, over the whole fleet, in any window.
 
-    :param ratio: repeats for each request.
-    :param extra: repeats besides, in a window.
-    :param window_s: length of the window, seconds.
+    :param ratio: retries allowed per request.
+    :param extra: retries allowed per window in addition.
+    :param window_s: length of the window in seconds.
     """
 
     ratio: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.2
@@ -54,34 +55,35 @@
     window_s: Positive = 10.0
 
 
-class Releases(_Checked, frozen=True):
-    """Bounds on releases of a version.
+class Releases(_Lenient, frozen=True):
+    """Limits on the release of a version.
 
-    :param exposure: most of a service's requests that a bad version may
-        get, from the order to its deadline.
+    :param exposure: maximum fraction of a service's requests that a faulty
+        version may get between the order and its deadline.
     """
 
     exposure: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.1
 
 
-class Shutdown(_Checked, frozen=True):
-    """How a stop goes, in seconds after it was asked for.
+class Shutdown(_Lenient, frozen=True):
+    """Timing of a shutdown.
 
-    :param grace_s: when the process is killed.
+    :param grace_s: seconds from the request to stop until the process is
+        killed.
     """
 
     grace_s: Positive = 6.0
 
 
-class ProxySettings(_Checked, frozen=True):
-    """Everything that ``peridot-proxy`` is told.
+class ProxySettings(_Lenient, frozen=True):
+    """All settings of ``peridot-proxy``.
 
-    :param host: name of this host, the same after each restart.
-    :param availability_zone: where the host stands.
-    :param address: IP address that other daemons reach it at.
-    :param service: the service of this host's target.
+    :param host: name of this host, which is the same after each restart.
+    :param availability_zone: availability zone of the host.
+    :param address: IP address at which other daemons connect to this one.
+    :param service: service that this host's target runs.
     :param target: address of this host's target.
-    :param link_mbps: what the host's network link carries, Mbit/s.
+    :param link_mbps: bandwidth of the host's network link in Mbit/s.
     :param store: address of the platform's store.
     """
 
@@ -99,32 +101,32 @@
 
 
 def load(path: pathlib.Path) -> ProxySettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :raises BadSettings: with the file, the field and what is wrong.
+    :raises BadSettings: with the file, the field and the error.
     """
     try:
         raw = path.read_bytes()
-        found = msgspec.json.decode(raw, type=ProxySettings)
-        for name in msgspec.structs.asdict(found.listen):
-            value = getattr(found.listen, name)
+        settings = msgspec.json.decode(raw, type=ProxySettings)
+        for name in msgspec.structs.asdict(settings.listen):
+            value = getattr(settings.listen, name)
             if value:
                 split_address(value, f'listen.{name}')
-        split_address(found.store, 'store')
-        split_address(found.target, 'target')
+        split_address(settings.store, 'store')
+        split_address(settings.target, 'target')
     except (OSError, msgspec.MsgspecError, ValueError) as error:
         raise BadSettings(
             f'{error}; correct the file and start again',
             step='settings.load',
             peer=str(path),
         ) from error
-    return found
+    return settings
 
 
 def split_address(address: str, field: str = '') -> tuple[str, int]:
     """Return host and port of ``IP:PORT``.
 
-    :raises ValueError: it is none; names `field`.
+    :raises ValueError: `address` is malformed; the message names `field`.
     """
     host, _, port = address.rpartition(':')
     if not host or not port.isdigit():
--- a/src/peridotpost/border/text.py
+++ b/src/peridotpost/border/text.py
@@ -1,4 +1,4 @@
-"""The operators' text: its schema, its checks and what they mean."""
+"""The mesh configuration document of the operators: schema and checks."""
 
 from collections.abc import Iterator
 import graphlib
@@ -10,7 +10,7 @@
 from peridotpost.model import config
 
 MAX_TEXT_BYTES = 1_000_000
-"""The platform's service holds values up to a megabyte."""
+"""Largest value that the platform's key-value store accepts."""
 MAX_DEADLINE_MS = 300_000
 NAME_PATTERN = r'^[a-z][a-z0-9-]{0,62}$'
 
@@ -22,12 +22,12 @@
 Flag = Annotated[bool, pydantic.Field(strict=True)]
 
 
-class _Strict(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
 
-class LimitsText(_Strict):
-    """``limits`` of a service; each holds for one target."""
+class LimitsText(_StrictModel):
+    """``limits`` of a service; each applies to a single target."""
 
     queue: Annotated[int, pydantic.Field(ge=0, le=10_000, strict=True)] = 64
     body_bytes: Annotated[Positive, pydantic.Field(le=16_777_216)] = 1_048_576
@@ -36,8 +36,8 @@
     )
 
 
-class CallText(_Strict):
-    """An entry of ``calls``: what is special about some of them."""
+class CallText(_StrictModel):
+    """Entry of ``calls``, which overrides the service's defaults."""
 
     method: Annotated[str, pydantic.Field(pattern=r'^[A-Z]{1,16}$')]
     path: Annotated[str, pydantic.Field(pattern=r'^/[^\s]*$')] = '/'
@@ -45,7 +45,7 @@
     deadline_ms: DeadlineMs | None = None
 
 
-class ServiceText(_Strict):
+class ServiceText(_StrictModel):
     """One service; ``idempotent: false`` is the safe default."""
 
     depends_on: list[Name] = []
@@ -57,8 +57,8 @@
     calls: list[CallText] = []
 
 
-class MeshText(_Strict):
-    """The whole text."""
+class MeshText(_StrictModel):
+    """Configuration of a mesh."""
 
     mesh: Name
     availability_zones: Annotated[list[Name], pydantic.Field(min_length=1)]
@@ -66,9 +66,9 @@
 
 
 def read_text(text: str, file: str) -> MeshText:
-    """Check the operators' text.
+    """Parse and validate a configuration document.
 
-    :raises document.DocumentError: every problem found, with its line.
+    :raises document.DocumentError: with the line of each error.
     """
     size = len(text.encode())
     if size > MAX_TEXT_BYTES:
@@ -77,80 +77,82 @@
             'shorten it or split the mesh'
         )
         raise document.DocumentError([document.Problem(file, '', 0, message)])
-    read = document.read_yaml(text, file)
+    parsed = document.read_yaml(text, file)
     try:
-        mesh = MeshText.model_validate(read.data)
+        mesh = MeshText.model_validate(parsed.data)
     except pydantic.ValidationError as error:
-        raise document.DocumentError(read.problems_of(error)) from error
-    problems = list(_problems(mesh, read))
+        raise document.DocumentError(parsed.problems_of(error)) from error
+    problems = list(_problems(mesh, parsed))
     if problems:
         raise document.DocumentError(problems)
     return mesh
 
 
 def _problems(
-    mesh: MeshText, read: document.Document
+    mesh: MeshText, parsed: document.Document
 ) -> Iterator[document.Problem]:
-    yield from _repeated(
-        mesh.availability_zones, ('availability_zones',), read
+    yield from _duplicate_names(
+        mesh.availability_zones, ('availability_zones',), parsed
     )
     for name, service in mesh.services.items():
         path = ('services', name)
-        yield from _repeated(service.depends_on, (*path, 'depends_on'), read)
-        for index, needed in enumerate(service.depends_on):
-            if needed not in mesh.services:
-                yield read.problem(
+        yield from _duplicate_names(
+            service.depends_on, (*path, 'depends_on'), parsed
+        )
+        for index, dependency in enumerate(service.depends_on):
+            if dependency not in mesh.services:
+                yield parsed.problem(
                     (*path, 'depends_on', index),
-                    f'names {needed!r}, which is no service of this text; '
-                    'add the service or remove the dependency',
+                    f'names {dependency!r}, which is not a service of this '
+                    'mesh; add the service or remove the dependency',
                 )
-        yield from _repeated_calls(service, path, read)
-    cycle = _cycle(mesh)
+        yield from _duplicate_calls(service, path, parsed)
+    cycle = _dependency_cycle(mesh)
     if cycle:
-        yield read.problem(
+        yield parsed.problem(
             ('services', cycle[0], 'depends_on'),
-            f'is a cycle: {" -> ".join(cycle)}; a call could never end',
+            f'is a cycle: {" -> ".join(cycle)}; a call would never return',
         )
 
 
-def _repeated(
-    names: list[str], path: document.Path, read: document.Document
+def _duplicate_names(
+    names: list[str], path: document.Path, parsed: document.Document
 ) -> Iterator[document.Problem]:
     for index, name in enumerate(names):
         if name in names[:index]:
-            yield read.problem((*path, index), f'lists {name!r} twice')
+            yield parsed.problem((*path, index), f'lists {name!r} twice')
 
 
-def _repeated_calls(
-    service: ServiceText, path: document.Path, read: document.Document
+def _duplicate_calls(
+    service: ServiceText, path: document.Path, parsed: document.Document
 ) -> Iterator[document.Problem]:
     seen: set[tuple[str, str]] = set()
     for index, call in enumerate(service.calls):
         if (call.method, call.path) in seen:
-            yield read.problem(
+            yield parsed.problem(
                 (*path, 'calls', index),
                 f'repeats {call.method} {call.path}',
             )
         seen.add((call.method, call.path))
 
 
-def _cycle(mesh: MeshText) -> list[str]:
-    """Return the names along one cycle of dependencies, empty if none."""
+def _dependency_cycle(mesh: MeshText) -> list[str]:
+    """Return the services along a dependency cycle; empty if there is none."""
     graph = {
         name: service.depends_on for name, service in mesh.services.items()
     }
     try:
         graphlib.TopologicalSorter(graph).prepare()
     except graphlib.CycleError as error:
-        found: list[str] = error.args[1]
-        return found
+        cycle: list[str] = error.args[1]
+        return cycle
     return []
 
 
 def to_config(
     mesh: MeshText, revision: int, write_id: str
 ) -> config.ConfigVersion:
-    """Turn a checked text into the version that daemons hold."""
+    """Convert a validated document to a version for the daemons."""
     return config.ConfigVersion(
         revision=revision,
         write_id=write_id,
--- a/testing/test_proxy_settings.py
+++ b/testing/test_proxy_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole before anything is opened."""
+"""Settings of ``peridot-proxy`` are validated before it opens anything."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 from peridotpost.border import proxy as border
 from peridotpost.cli import proxy_command
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     'host': 'a-1',
     'availability_zone': 'a',
     'address': '127.0.0.1',
@@ -30,21 +30,21 @@
 }
 
 
-def written(tmp_path: pathlib.Path, raw: str) -> pathlib.Path:
+def write_settings(tmp_path: pathlib.Path, raw: str) -> pathlib.Path:
     path = tmp_path / 'proxy.json'
     path.write_text(raw)
     return path
 
 
-def test_good_settings_are_read(tmp_path: pathlib.Path) -> None:
-    raw = json.dumps(GOOD | {'from_a_newer_platform': 1})
-    found = border.load(written(tmp_path, raw))
-    assert found.retries.ratio == 0.2
-    assert border.split_address(found.store) == ('127.0.0.1', 5)
+def test_valid_settings_are_loaded(tmp_path: pathlib.Path) -> None:
+    raw = json.dumps(VALID | {'from_a_newer_platform': 1})
+    settings = border.load(write_settings(tmp_path, raw))
+    assert settings.retries.ratio == 0.2
+    assert border.split_address(settings.store) == ('127.0.0.1', 5)
 
 
 @pytest.mark.parametrize(
-    ('change', 'named'),
+    ('change', 'field'),
     [
         pytest.param({'host': ''}, 'host', id='empty name'),
         pytest.param({'service': 7}, 'service', id='wrong type'),
@@ -52,35 +52,35 @@
         pytest.param({'link_mbps': 0}, 'link_mbps', id='no link'),
         pytest.param({'retries': {'ratio': -1}}, 'ratio', id='negative share'),
         pytest.param(
-            {'listen': GOOD['listen'] | {'peers': ':x'}},
+            {'listen': VALID['listen'] | {'peers': ':x'}},
             'listen.peers',
             id='no address',
         ),
         pytest.param({'listen': {}}, 'listen', id='field missing'),
     ],
 )
-def test_bad_field_is_named(
-    change: dict[str, Any], named: str, tmp_path: pathlib.Path
+def test_invalid_field_is_named(
+    change: dict[str, Any], field: str, tmp_path: pathlib.Path
 ) -> None:
-    path = written(tmp_path, json.dumps(GOOD | change))
+    path = write_settings(tmp_path, json.dumps(VALID | change))
     with pytest.raises(border.BadSettings) as caught:
         border.load(path)
-    assert named in str(caught.value)
+    assert field in str(caught.value)
     assert str(path) in str(caught.value)
 
 
 @pytest.mark.parametrize(
     ('raw', 'code'),
     [
-        pytest.param(json.dumps(GOOD), 0, id='good'),
+        pytest.param(json.dumps(VALID), 0, id='good'),
         pytest.param('{"host": ', 2, id='cut off'),
         pytest.param('', 2, id='empty'),
     ],
 )
-def test_check_tells_by_its_exit_code(
+def test_check_reports_by_exit_code(
     raw: str, code: int, tmp_path: pathlib.Path
 ) -> None:
-    path = written(tmp_path, raw)
+    path = write_settings(tmp_path, raw)
     run = testing.CliRunner().invoke(
         proxy_command.main, ['--settings', str(path), '--check']
     )
@@ -89,14 +89,14 @@
 
 
 @pytest.mark.processes
-def test_a_reload_during_the_start_does_not_end_the_process(
+def test_reload_during_startup_does_not_end_the_process(
     tmp_path: pathlib.Path,
 ) -> None:
-    """All hosts are told to reload while one of them starts again.
+    """A SIGHUP that arrives before its handler is installed is survived.
 
-    Nothing handled the signal there yet, and its process ended.  The
-    settings come through a pipe here, so that the signal arrives while
-    they are being read.
+    When all hosts were told to reload while one of them was restarting, the
+    signal ended that process.  The settings are read from a pipe here, so
+    that the signal arrives while they are being read.
     """
     path = tmp_path / 'settings'
     os.mkfifo(path)
@@ -104,5 +104,5 @@
     with subprocess.Popen([*command, '--settings', str(path)]) as started:
         with path.open('w') as pipe:
             started.send_signal(signal.SIGHUP)
-            pipe.write(json.dumps(GOOD))
+            pipe.write(json.dumps(VALID))
         assert started.wait(timeout=60) == 0
--- a/testing/test_reference.py
+++ b/testing/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference of settings and text says what the models check."""
+"""The reference page matches the models that validate the files."""
 
 import pathlib
 
@@ -9,8 +9,8 @@
 PAGE = pathlib.Path(__file__).parents[1] / 'docs' / 'reference.md'
 
 
-def test_the_page_is_what_the_command_prints() -> None:
-    """A default was changed, and operators went by the page for a year."""
+def test_page_is_up_to_date() -> None:
+    """Guards against an outdated page after a default was changed."""
     result = click_testing.CliRunner().invoke(peridotctl.main, ['reference'])
     assert result.exit_code == 0, result.output
     assert result.output == PAGE.read_text(), (
@@ -18,9 +18,9 @@
     )
 
 
-def test_required_fields_bounds_and_parts_are_told() -> None:
+def test_page_has_required_fields_bounds_and_nested_objects() -> None:
     page = PAGE.read_text()
-    assert '| `store` | text, length at least 1' in page
+    assert '| `store` | string, length at least 1' in page
     assert '| `ratio` | number, at least 0, at most 10 | `0.2` |' in page
     assert '### `listen`' in page
     assert '`deadline_ms`' in page
--- a/testing/test_settings.py
+++ b/testing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: each error names the file, the line and the mend."""
+"""Settings of ``peridotd``: defaults, and the errors of invalid files."""
 
 import json
 import pathlib
@@ -8,7 +8,7 @@
 from peridotpost.border import document
 from peridotpost.border import settings
 
-GOOD = {
+VALID = {
     'host': 'h1',
     'availability_zone': 'a',
     'mesh': 'm',
@@ -16,15 +16,17 @@
 }
 
 
-def write(path: pathlib.Path, content: str) -> pathlib.Path:
-    file = path / 'settings.json'
+def write_settings(directory: pathlib.Path, content: str) -> pathlib.Path:
+    file = directory / 'settings.json'
     file.write_text(content)
     return file
 
 
 def test_defaults_complete_the_settings(tmp_path: pathlib.Path) -> None:
-    read = settings.load_settings(write(tmp_path, json.dumps(GOOD)))
-    assert read.listen.caller_port == 8080
+    loaded = settings.load_settings(
+        write_settings(tmp_path, json.dumps(VALID))
+    )
+    assert loaded.listen.caller_port == 8080
 
 
 @pytest.mark.parametrize(
@@ -32,33 +34,33 @@
     [
         pytest.param('{', '', 'not JSON', id='not-json'),
         pytest.param(
-            json.dumps({**GOOD, 'host': 7}), 'host', '7', id='wrong-type'
+            json.dumps({**VALID, 'host': 7}), 'host', '7', id='wrong-type'
         ),
         pytest.param(
-            json.dumps({k: v for k, v in GOOD.items() if k != 'store'}),
+            json.dumps({k: v for k, v in VALID.items() if k != 'store'}),
             'store',
             'is missing',
             id='missing',
         ),
         pytest.param(
-            json.dumps({**GOOD, 'listen': {'caller_port': 70000}}),
+            json.dumps({**VALID, 'listen': {'caller_port': 70000}}),
             'listen.caller_port',
             '65535',
             id='port-range',
         ),
         pytest.param(
-            json.dumps({**GOOD, 'prots': 1}), 'prots', 'not a known',
+            json.dumps({**VALID, 'prots': 1}), 'prots', 'not a known',
             id='unknown',
         ),
         pytest.param(
-            '{"host": "h", "host": "i"}', 'host', 'twice', id='duplicate'
+            '{"host": "h", "host": "i"}', 'host', 'duplicate key', id='duplicate'
         ),
     ],
 )  # fmt: skip
-def test_wrong_settings_name_the_place(
+def test_invalid_settings_report_file_and_path(
     tmp_path: pathlib.Path, content: str, path: str, message: str
 ) -> None:
-    file = write(tmp_path, content)
+    file = write_settings(tmp_path, content)
     with pytest.raises(document.DocumentError) as caught:
         settings.load_settings(file)
     problem = caught.value.problems[0]
@@ -67,6 +69,6 @@
     assert message in problem.message
 
 
-def test_missing_file_says_what_to_give(tmp_path: pathlib.Path) -> None:
+def test_missing_file_names_the_option(tmp_path: pathlib.Path) -> None:
     with pytest.raises(document.DocumentError, match='--settings'):
         settings.load_settings(tmp_path / 'none.json')
