--- a/src/peridotpost/admin/__init__.py
+++ b/src/peridotpost/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's HTTP page for operators and for its host's targets."""
+"""HTTP API of the daemon for operators and for targets on its host."""
--- a/src/peridotpost/admin/handlers.py
+++ b/src/peridotpost/admin/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of the admin page."""
+"""Request handlers of the admin API."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -20,15 +20,15 @@
 from peridotpost.kernel import registry
 from peridotpost.kernel import timeline
 from peridotpost.kernel import timers
-from peridotpost.membership import myself as own
-from peridotpost.membership import targets as local
+from peridotpost.membership import myself
+from peridotpost.membership import targets as local_targets
 from peridotpost.model import members
 
-PAGE_BYTES = 4096
+MEMORY_PAGE_BYTES = 4096
 
 
-class Page(web.RequestHandler):
-    """Base of the pages: finds services, answers errors as JSON."""
+class ApiHandler(web.RequestHandler):
+    """Base class of the handlers; reports errors as JSON."""
 
     kernel: registry.Kernel
 
@@ -43,37 +43,37 @@
         self.finish(model.model_dump_json())
 
 
-class StatusPage(Page):
+class StatusHandler(ApiHandler):
     """``GET /v1/status``."""
 
     def get(self) -> None:
-        self.reply(status_of(self.kernel))
+        self.reply(daemon_status(self.kernel))
 
 
-class CountersPage(Page):
+class CountersHandler(ApiHandler):
     """``GET /v1/counters``."""
 
     def get(self) -> None:
         counts = self.kernel.find('counters', counters.Counters)
         clock = self.kernel.find('timers', timers.TimerService)
-        myself = self.kernel.find('myself', own.Myself)
+        local_member = self.kernel.find('myself', myself.Myself)
         self.reply(
             models.CountersPage(
-                host=myself.record.host,
+                host=local_member.record.host,
                 at=clock.now(),
                 totals=dict(counts.totals),
             )
         )
 
 
-class RolloutPage(Page):
+class RolloutHandler(ApiHandler):
     """``GET /v1/rollout``."""
 
     def get(self) -> None:
-        self.reply(rollout.page_of(self.kernel))
+        self.reply(rollout.rollout_page(self.kernel))
 
 
-class TimelinePage(Page):
+class TimelineHandler(ApiHandler):
     """``GET /v1/timeline?request_id=&revision=``."""
 
     def get(self) -> None:
@@ -81,63 +81,69 @@
         try:
             revision = int(self.get_query_argument('revision', '0'))
         except ValueError as error:
-            raise web.HTTPError(400, reason='revision: number') from error
-        chosen = events.select(
+            raise web.HTTPError(
+                400, reason='revision: not a number'
+            ) from error
+        selected = events.select(
             request_id=self.get_query_argument('request_id', ''),
             revision=revision,
         )
         self.reply(
             models.TimelinePage(
                 events=[
-                    models.TimelineEvent(**dataclasses.asdict(one))
-                    for one in chosen
+                    models.TimelineEvent(**dataclasses.asdict(event))
+                    for event in selected
                 ]
             )
         )
 
 
-class TargetPage(Page):
-    """``PUT`` and ``DELETE /v1/targets/SERVICE``: a target's own word."""
+class TargetHandler(ApiHandler):
+    """``PUT`` and ``DELETE /v1/targets/SERVICE``, called by targets."""
 
     def put(self, service: str) -> None:
         try:
-            heard = models.Announcement.model_validate_json(self.request.body)
+            announcement = models.Announcement.model_validate_json(
+                self.request.body
+            )
         except pydantic.ValidationError as error:
             first = error.errors()[0]
-            place = '.'.join(str(part) for part in first['loc'])
+            field = '.'.join(str(part) for part in first['loc'])
             raise web.HTTPError(
-                400, reason=f'announcement: {place}: {first["msg"]}'[:200]
+                400, reason=f'announcement: {field}: {first["msg"]}'[:200]
             ) from error
-        found = self.kernel.find('targets', local.LocalTargets)
+        targets = self.kernel.find('targets', local_targets.LocalTargets)
         clock = self.kernel.find('timers', timers.TimerService)
-        target = local.LocalTarget(
+        target = local_targets.LocalTarget(
             service=service,
-            name=heard.name,
-            port=heard.port,
-            slots=heard.slots,
-            connections=heard.connections,
-            state=members.TargetState[heard.state.upper()],
-            good_until=clock.now() + found.ttl_s,
+            name=announcement.name,
+            port=announcement.port,
+            slots=announcement.slots,
+            connections=announcement.connections,
+            state=members.TargetState[announcement.state.upper()],
+            good_until=clock.now() + targets.ttl_s,
         )
         try:
-            found.announce(target)
-        except local.NameTaken as error:
+            targets.announce(target)
+        except local_targets.NameTaken as error:
             raise web.HTTPError(409, reason=error.message) from error
         self.finish({})
 
     def delete(self, service: str) -> None:
-        """Forget the target of that ``name``, or all of the service."""
-        found = self.kernel.find('targets', local.LocalTargets)
+        """Withdraw the target ``name``, or all targets of the service."""
+        targets = self.kernel.find('targets', local_targets.LocalTargets)
         name = self.get_query_argument('name', '')
-        for target in found.of_service(service):
+        for target in targets.of_service(service):
             if name in ('', target.name):
-                found.withdraw(service, target.name, 'its own word')
+                targets.withdraw(
+                    service, target.name, 'withdrawn by the target'
+                )
         self.finish({})
 
 
-def status_of(kernel: registry.Kernel) -> models.DaemonStatus:
-    """Collect what a daemon says of itself."""
-    myself = kernel.find('myself', own.Myself)
+def daemon_status(kernel: registry.Kernel) -> models.DaemonStatus:
+    """Return the daemon's status."""
+    local_member = kernel.find('myself', myself.Myself)
     replica = kernel.find('replica', replicas.Replica)
     ups = kernel.find('uplinks', uplinks.Uplinks)
     source = kernel.find('source', sources.Source)
@@ -145,13 +151,13 @@
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return models.DaemonStatus(
         host=replica.host,
-        availability_zone=myself.record.availability_zone,
-        stage=myself.stage.value,
+        availability_zone=local_member.record.availability_zone,
+        stage=local_member.stage.value,
         revision=replica.version.revision,
         write_id=replica.version.write_id,
         digest=replica.version.digest.hex(),
         relay=ups.place.relay,
-        parent=[one.peer for one in ups.wanted.values()],
+        parent=[parent.peer for parent in ups.wanted.values()],
         children=servicer.children,
         store_reachable=source.reachable,
         resident_kib=resident_kib(),
@@ -159,50 +165,54 @@
         routes=[
             models.RouteStatus(
                 service=name,
-                endpoints=[f'{e.host}/{e.name}' for e in route.endpoints],
+                endpoints=[
+                    f'{endpoint.host}/{endpoint.name}'
+                    for endpoint in route.endpoints
+                ],
             )
             for name, route in sorted(replica.table.routes.items())
         ],
         members=[
-            _member(one) for _, one in sorted(replica.fleet.records.items())
+            _member_status(record)
+            for _, record in sorted(replica.fleet.records.items())
         ],
     )
 
 
-def _member(record: members.MemberRecord) -> models.MemberStatus:
+def _member_status(record: members.MemberRecord) -> models.MemberStatus:
     return models.MemberStatus(
         host=record.host,
         availability_zone=record.availability_zone,
         status=record.status.name.lower(),
         incarnation=record.incarnation,
         targets=[
-            f'{one.service}/{one.name} {one.state.name.lower()}'
-            for one in record.targets
+            f'{target.service}/{target.name} {target.state.name.lower()}'
+            for target in record.targets
         ],
     )
 
 
 def resident_kib() -> int:
-    """Return the resident memory, from /proc, in KiB."""
+    """Return the resident memory of this process in KiB."""
     with open('/proc/self/statm') as pages:
-        return int(pages.read().split()[1]) * PAGE_BYTES // 1024
+        return int(pages.read().split()[1]) * MEMORY_PAGE_BYTES // 1024
 
 
 @contextlib.asynccontextmanager
 async def serving(
     kernel: registry.Kernel, address: str, port: int
 ) -> AsyncIterator[int]:
-    """Serve the admin page and yield the port in use.
+    """Serve the admin API and yield its port.
 
-    :raises errors.PeridotError: the port is taken.
+    :raises errors.PeridotError: the port is in use.
     """
     arguments = {'kernel': kernel}
     handlers = [
-        (r'/v1/status', StatusPage, arguments),
-        (r'/v1/counters', CountersPage, arguments),
-        (r'/v1/rollout', RolloutPage, arguments),
-        (r'/v1/timeline', TimelinePage, arguments),
-        (r'/v1/targets/([a-z][a-z0-9-]{0,62})', TargetPage, arguments),
+        (r'/v1/status', StatusHandler, arguments),
+        (r'/v1/counters', CountersHandler, arguments),
+        (r'/v1/rollout', RolloutHandler, arguments),
+        (r'/v1/timeline', TimelineHandler, arguments),
+        (r'/v1/targets/([a-z][a-z0-9-]{0,62})', TargetHandler, arguments),
     ]
     server = httpserver.HTTPServer(web.Application(handlers))
     sockets = ports.bind(address, port, 'admin_port')
--- a/src/peridotpost/admin/models.py
+++ b/src/peridotpost/admin/models.py
@@ -1,4 +1,4 @@
-"""Validated models of what the admin page takes in and gives out."""
+"""Validated models of the requests and responses of the admin API."""
 
 from typing import Annotated
 from typing import Literal
@@ -11,7 +11,7 @@
 
 
 class Announcement(pydantic.BaseModel):
-    """A target tells of itself; to be repeated before its time is up."""
+    """Announcement by a target, to be renewed before it expires."""
 
     model_config = pydantic.ConfigDict(extra='forbid')
 
@@ -23,7 +23,7 @@
 
 
 class MemberStatus(pydantic.BaseModel):
-    """A member as the asked daemon knows it."""
+    """A member as known to the responding daemon."""
 
     host: str
     availability_zone: str
@@ -33,14 +33,14 @@
 
 
 class RouteStatus(pydantic.BaseModel):
-    """A route of the table in force."""
+    """A route of the active routing table."""
 
     service: str
     endpoints: list[str]
 
 
 class DaemonStatus(pydantic.BaseModel):
-    """What a daemon says of itself."""
+    """Status of the responding daemon."""
 
     host: str
     availability_zone: str
@@ -59,14 +59,14 @@
 
 
 class RelayAddress(pydantic.BaseModel):
-    """A relay and where its admin page is."""
+    """A relay and the address of its admin API."""
 
     host: str
     admin: str
 
 
 class ZoneView(pydantic.BaseModel):
-    """An availability zone as the asked daemon knows it."""
+    """An availability zone as known to the responding daemon."""
 
     availability_zone: str
     live: int
@@ -74,10 +74,10 @@
 
 
 class RolloutPage(pydantic.BaseModel):
-    """How far versions have come at the asked daemon and below it.
+    """Rollout progress of the responding daemon and those that report to it.
 
-    `daemons` counts the asked daemon and all that report to it;
-    `covers_zone` says whether those are just the live ones of its zone.
+    `daemons` counts the responding daemon and all that report to it;
+    `covers_zone` says whether these are exactly the live ones of its zone.
     """
 
     host: str
@@ -90,7 +90,7 @@
 
 
 class TimelineEvent(pydantic.BaseModel):
-    """An event of the daemon's ring."""
+    """An event from the daemon's ring buffer."""
 
     at: float
     number: int
@@ -102,10 +102,14 @@
 
 
 class TimelinePage(pydantic.BaseModel):
+    """Recent events, filtered by the query."""
+
     events: list[TimelineEvent]
 
 
 class CountersPage(pydantic.BaseModel):
+    """Current values of all counters."""
+
     host: str
     at: float
     totals: dict[str, int]
--- a/src/peridotpost/admin/rollout.py
+++ b/src/peridotpost/admin/rollout.py
@@ -1,7 +1,7 @@
-"""How far a version has come, as one daemon can tell.
+"""Rollout progress of a version, as known to one daemon.
 
-An operator of thousands of daemons asks one relay of each availability
-zone instead of all daemons; the relays' words are added up.
+In a fleet of thousands of daemons, an operator queries one relay of each
+availability zone instead of all daemons, and adds up the relays' reports.
 """
 
 from peridotpost.admin import models
@@ -11,39 +11,40 @@
 from peridotpost.distribution import links
 from peridotpost.distribution import replica as replicas
 from peridotpost.kernel import registry
-from peridotpost.membership import myself as own
+from peridotpost.membership import myself
 
 
-def page_of(kernel: registry.Kernel) -> models.RolloutPage:
-    """Return the daemon's word on itself and all that report to it."""
+def rollout_page(kernel: registry.Kernel) -> models.RolloutPage:
+    """Return the progress of the daemon and of all that report to it."""
     replica = kernel.find('replica', replicas.Replica)
-    myself = kernel.find('myself', own.Myself)
-    told = kernel.find('links', links.LinkTable).progress
-    zone = myself.record.availability_zone
+    local_member = kernel.find('myself', myself.Myself)
+    reported = kernel.find('links', links.LinkTable).progress
+    zone = local_member.record.availability_zone
     live = replica.fleet.live_hosts(zone)
     return models.RolloutPage(
         host=replica.host,
         availability_zone=zone,
         revision=replica.version.revision,
-        lowest_revision=told.lowest_revision,
-        daemons=told.daemons,
-        covers_zone=progress.in_force(0, told, live),
+        lowest_revision=reported.lowest_revision,
+        daemons=reported.daemons,
+        covers_zone=progress.in_force(0, reported, live),
         zones=[
-            _zone_view(replica.fleet, one) for one in replica.fleet.zones()
+            _zone_view(replica.fleet, known_zone)
+            for known_zone in replica.fleet.zones()
         ],
     )
 
 
-def _zone_view(held: fleet.Fleet, zone: str) -> models.ZoneView:
-    hosts = held.live_hosts(zone)
+def _zone_view(known_fleet: fleet.Fleet, zone: str) -> models.ZoneView:
+    hosts = known_fleet.live_hosts(zone)
     return models.ZoneView(
         availability_zone=zone,
         live=len(hosts),
         relays=[
             models.RelayAddress(
                 host=host,
-                admin=f'{held.records[host].address}:'
-                f'{held.records[host].admin_port}',
+                admin=f'{known_fleet.records[host].address}:'
+                f'{known_fleet.records[host].admin_port}',
             )
             for host in tree.relays_of(zone, hosts)
         ],
--- a/src/peridotpost/daemon/__init__.py
+++ b/src/peridotpost/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""``peridotd`` as a whole: its parts, how it joins and how it leaves."""
+"""Assembly of ``peridotd`` and how it joins and leaves the fleet."""
--- a/src/peridotpost/daemon/assembly.py
+++ b/src/peridotpost/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of ``peridotd`` together under the micro-kernel."""
+"""Assembles the components of ``peridotd`` on the micro-kernel."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -13,16 +13,16 @@
 from peridotpost.daemon import leaving
 from peridotpost.kernel import registry
 
-Part = Callable[
+Component = Callable[
     [registry.Kernel], contextlib.AbstractAsyncContextManager[None]
 ]
 
 
 class Daemon:
-    """One ``peridotd``.
+    """A ``peridotd`` instance.
 
-    Its services are in ``kernel``; ``parts`` install them, in order, and
-    may be added to before the start.
+    ``kernel`` holds its services, which ``components`` install in order;
+    components may be added before the start.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self.kernel = registry.Kernel()
         self.kernel.register('settings', settings)
         self.kernel.register('randomness', random.Random(seed))
-        self.parts: list[Part] = [
+        self.components: list[Component] = [
             base.installed,
             control.installed,
             calls.installed,
@@ -41,12 +41,12 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator['Daemon']:
-        """Start everything, serve, and stop in the opposite order."""
+        """Start all components; stop them in reverse order on exit."""
         async with contextlib.AsyncExitStack() as stack:
-            for part in self.parts:
-                await stack.enter_async_context(part(self.kernel))
+            for component in self.components:
+                await stack.enter_async_context(component(self.kernel))
             yield self
 
     async def leave(self) -> None:
-        """Finish what is in flight, taking no new work."""
+        """Stop accepting new requests and finish those in flight."""
         await leaving.leave(self.kernel)
--- a/src/peridotpost/daemon/base.py
+++ b/src/peridotpost/daemon/base.py
@@ -1,4 +1,4 @@
-"""What every other part needs: counters, time, store, replica."""
+"""Services that all others depend on: counters, timers, store, replica."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -14,38 +14,38 @@
 from peridotpost.model import config
 from peridotpost.store import etcd
 
-STATSD_PERIOD_S = 1.0
+STATSD_INTERVAL_S = 1.0
 
 
 @contextlib.asynccontextmanager
 async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
     """Register counters, timers, timeline, store and replica."""
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     randomness = kernel.find('randomness', random.Random)
     counts = counters.Counters()
     with contextlib.ExitStack() as stack:
         clock = stack.enter_context(timers.timer_service(randomness))
-        events = timeline.Timeline(given.host, clock.wall)
+        events = timeline.Timeline(settings.host, clock.wall)
         kernel.register('counters', counts)
         kernel.register('timers', clock)
         kernel.register('timeline', events)
-        if given.statsd is not None:
+        if settings.statsd is not None:
             export = stack.enter_context(
-                _statsd(given.statsd, given.host, counts)
+                _export_to_statsd(settings.statsd, settings.host, counts)
             )
-            clock.subscribe('statsd', STATSD_PERIOD_S, export.flush)
+            clock.subscribe('statsd', STATSD_INTERVAL_S, export.flush)
         store = stack.enter_context(
             etcd.etcd_store(
-                given.store.endpoints,
-                given.store.timeout_s,
-                given.timing.watch_timeout_s,
+                settings.store.endpoints,
+                settings.store.timeout_s,
+                settings.timing.watch_timeout_s,
                 counts,
             )
         )
         kernel.register('store', store)
         replica = replicas.Replica(
-            given.host,
-            config.Interest(ingress=given.ingress),
+            settings.host,
+            config.Interest(ingress=settings.ingress),
             clock,
             events,
             counts,
@@ -54,11 +54,11 @@
         yield
 
 
-def _statsd(
-    given: settings_border.StatsdSettings,
+def _export_to_statsd(
+    settings: settings_border.StatsdSettings,
     host: str,
     counts: counters.Counters,
 ) -> contextlib.AbstractContextManager[statsd_export.StatsdExport]:
     return statsd_export.statsd_export(
-        counts, given.address, given.port, f'peridotd.{host}'
+        counts, settings.address, settings.port, f'peridotd.{host}'
     )
--- a/src/peridotpost/daemon/calls.py
+++ b/src/peridotpost/daemon/calls.py
@@ -1,11 +1,11 @@
-"""The parts that carry calls, and the admin page."""
+"""Installs the services for calls, and the admin API."""
 
 from collections.abc import AsyncIterator
 import contextlib
 import dataclasses
 import random
 
-from peridotpost.admin import pages
+from peridotpost.admin import handlers
 from peridotpost.border import settings as settings_border
 from peridotpost.calls import connections
 from peridotpost.calls import guard as guards
@@ -21,16 +21,16 @@
 from peridotpost.kernel import registry
 from peridotpost.kernel import timeline
 from peridotpost.kernel import timers
-from peridotpost.membership import myself as own
-from peridotpost.membership import targets as local
+from peridotpost.membership import myself
+from peridotpost.membership import targets as local_targets
 from peridotpost.store import etcd
 
 EGRESS_ADDRESS = '127.0.0.1'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entrance:
-    """A port for HTTP requests: of callers, or of this host's targets."""
+class HttpListener:
+    """A port for HTTP requests of callers or of this host's targets."""
 
     name: str
     address: str
@@ -39,45 +39,51 @@
     for_targets: bool
 
 
-def _entrances(given: settings_border.DaemonSettings) -> list[Entrance]:
-    listen = given.listen
-    for_targets = Entrance(
+def _http_listeners(
+    settings: settings_border.DaemonSettings,
+) -> list[HttpListener]:
+    listen = settings.listen
+    for_targets = HttpListener(
         'egress', EGRESS_ADDRESS, listen.egress_port, 'egress_port', True
     )
-    if not given.ingress:
+    if not settings.ingress:
         return [for_targets]
-    for_callers = Entrance(
-        'ingress', given.address, listen.caller_port, 'caller_port', False
+    for_callers = HttpListener(
+        'ingress', settings.address, listen.caller_port, 'caller_port', False
     )
     return [for_callers, for_targets]
 
 
 @contextlib.asynccontextmanager
 async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
-    """Open the ports for calls and the admin page."""
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    """Open the ports for calls and the admin API."""
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     async with contextlib.AsyncExitStack() as stack:
         guard = _add_guard(kernel, stack)
         streams = peers.PeerStreams(kernel.find('counters', counters.Counters))
         stack.push_async_callback(streams.close)
         router = _add_router(kernel, guard, streams)
         call_port = await _serve_peers(kernel, stack, router, streams)
-        for entrance in _entrances(given):
-            await _serve_requests(kernel, stack, router, entrance)
+        for listener in _http_listeners(settings):
+            await _serve_requests(kernel, stack, router, listener)
         admin_port = await stack.enter_async_context(
-            pages.serving(kernel, given.address, given.listen.admin_port)
+            handlers.serving(
+                kernel, settings.address, settings.listen.admin_port
+            )
         )
-        kernel.find('myself', own.Myself).set_ports(call_port, admin_port)
+        kernel.find('myself', myself.Myself).set_ports(call_port, admin_port)
         yield
 
 
 def _add_guard(
     kernel: registry.Kernel, stack: contextlib.AsyncExitStack
 ) -> guards.Guard:
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     counts = kernel.find('counters', counters.Counters)
-    targets = local.LocalTargets(
-        kernel.find('myself', own.Myself), given.timing.target_ttl_s, counts
+    targets = local_targets.LocalTargets(
+        kernel.find('myself', myself.Myself),
+        settings.timing.target_ttl_s,
+        counts,
     )
     kernel.register('targets', targets)
     pool = connections.ConnectionPool(counts)
@@ -97,7 +103,7 @@
 def _add_router(
     kernel: registry.Kernel, guard: guards.Guard, streams: peers.PeerStreams
 ) -> routers.Router:
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     router = routers.Router(
         kernel.find('replica', replicas.Replica),
         guard,
@@ -105,7 +111,7 @@
         kernel.find('timers', timers.TimerService),
         kernel.find('timeline', timeline.Timeline),
         kernel.find('counters', counters.Counters),
-        given.availability_zone,
+        settings.availability_zone,
         kernel.find('randomness', random.Random),
     )
     kernel.register('router', router)
@@ -118,13 +124,15 @@
     router: routers.Router,
     streams: peers.PeerStreams,
 ) -> int:
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     server = peer_server.PeerServer(
         router.guard, kernel.find('counters', counters.Counters)
     )
     router.keyed = server.owner = _add_owner(kernel, router, streams)
     return await stack.enter_async_context(
-        peer_server.serving(server, given.address, given.listen.call_port)
+        peer_server.serving(
+            server, settings.address, settings.listen.call_port
+        )
     )
 
 
@@ -133,33 +141,35 @@
     router: routers.Router,
     streams: peers.PeerStreams,
 ) -> owners.Owner:
-    """Register the owner of keys and the keeper of the owners' schedule."""
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    """Register the key owner and the schedule of owners."""
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
     counts = kernel.find('counters', counters.Counters)
     randomness = kernel.find('randomness', random.Random)
     keeper = views.ScheduleKeeper(
         kernel.find('store', etcd.EtcdStore),
-        given.mesh,
+        settings.mesh,
         replica,
         kernel.find('timers', timers.TimerService),
         counts,
-        round(given.once.lead_s * views.MS_IN_S),
+        round(settings.once.lead_s * views.MS_IN_S),
         streams,
         randomness,
     )
     kernel.register('schedule', keeper)
     owner = owners.Owner(
         replica,
-        given.availability_zone,
+        settings.availability_zone,
         router.carry,
         streams,
         keeper,
-        kernel.find('myself', own.Myself),
+        kernel.find('myself', myself.Myself),
         kernel.find('timeline', timeline.Timeline),
         counts,
         randomness,
-        ownership.ClockBound(round(given.once.clock_bound_s * views.MS_IN_S)),
+        ownership.ClockBound(
+            round(settings.once.clock_bound_s * views.MS_IN_S)
+        ),
     )
     kernel.register('owner', owner)
     return owner
@@ -169,25 +179,28 @@
     kernel: registry.Kernel,
     stack: contextlib.AsyncExitStack,
     router: routers.Router,
-    entrance: Entrance,
+    listener: HttpListener,
 ) -> None:
-    ingress = _ingress(kernel, router, for_targets=entrance.for_targets)
-    kernel.register(entrance.name, ingress)
+    ingress = _create_ingress(kernel, router, for_targets=listener.for_targets)
+    kernel.register(listener.name, ingress)
     await stack.enter_async_context(
         ingresses.serving(
-            ingress, entrance.address, entrance.port, entrance.setting
+            ingress,
+            listener.address,
+            listener.port,
+            listener.setting,
         )
     )
 
 
-def _ingress(
+def _create_ingress(
     kernel: registry.Kernel, router: routers.Router, *, for_targets: bool
 ) -> ingresses.Ingress:
     return ingresses.Ingress(
         kernel.find('replica', replicas.Replica),
         router,
-        kernel.find('myself', own.Myself),
-        kernel.find('targets', local.LocalTargets),
+        kernel.find('myself', myself.Myself),
+        kernel.find('targets', local_targets.LocalTargets),
         kernel.find('timeline', timeline.Timeline),
         kernel.find('counters', counters.Counters),
         kernel.find('randomness', random.Random),
--- a/src/peridotpost/daemon/control.py
+++ b/src/peridotpost/daemon/control.py
@@ -1,4 +1,4 @@
-"""The parts that carry configuration and membership."""
+"""Installs the services for configuration and membership."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -16,18 +16,18 @@
 from peridotpost.kernel import counters
 from peridotpost.kernel import registry
 from peridotpost.kernel import timers
-from peridotpost.membership import myself as own
+from peridotpost.membership import myself
 from peridotpost.membership import pings
 from peridotpost.membership import probing
 from peridotpost.membership import seeds
 from peridotpost.model import members
 from peridotpost.store import etcd
 
-NS_IN_MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
-class ReplicaMembers:
-    """Shows the replica to the prober."""
+class ReplicaMemberView:
+    """The prober's view of the members in the replica."""
 
     def __init__(self, replica: replicas.Replica) -> None:
         self.replica = replica
@@ -44,32 +44,32 @@
 
 @contextlib.asynccontextmanager
 async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
-    """Open the control and probe ports; register what stands on them."""
-    given = kernel.find('settings', settings_border.DaemonSettings)
-    incarnation = time.time_ns() // NS_IN_MS
+    """Open the control and probe ports and register their services."""
+    settings = kernel.find('settings', settings_border.DaemonSettings)
+    incarnation = time.time_ns() // NS_PER_MS
     servicer = _add_links(kernel, incarnation)
     prober = _add_prober(kernel)
     async with (
         server.serving(
-            servicer, given.address, given.listen.control_port
+            servicer, settings.address, settings.listen.control_port
         ) as control_port,
         pings.listening(
-            prober.pings, given.address, given.listen.probe_port
+            prober.pings, settings.address, settings.listen.probe_port
         ) as probe_port,
     ):
         record = members.MemberRecord(
-            host=given.host,
-            availability_zone=given.availability_zone,
+            host=settings.host,
+            availability_zone=settings.availability_zone,
             incarnation=incarnation,
             status=members.Status.ALIVE,
             sequence=1,
-            address=given.address,
+            address=settings.address,
             control_port=control_port,
             probe_port=probe_port,
             call_port=0,
             admin_port=0,
         )
-        kernel.register('myself', own.Myself(record))
+        kernel.register('myself', myself.Myself(record))
         _add_sources(kernel)
         yield
 
@@ -77,10 +77,10 @@
 def _add_links(
     kernel: registry.Kernel, incarnation: int
 ) -> server.ControlServicer:
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
     counts = kernel.find('counters', counters.Counters)
-    table = links.LinkTable(replica, incarnation, given.availability_zone)
+    table = links.LinkTable(replica, incarnation, settings.availability_zone)
     kernel.register('links', table)
     servicer = server.ControlServicer(replica, table, counts)
     kernel.register('control', servicer)
@@ -88,17 +88,17 @@
 
 
 def _add_prober(kernel: registry.Kernel) -> probing.Prober:
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     prober = probing.Prober(
-        given.host,
-        given.availability_zone,
-        ReplicaMembers(kernel.find('replica', replicas.Replica)),
+        settings.host,
+        settings.availability_zone,
+        ReplicaMemberView(kernel.find('replica', replicas.Replica)),
         kernel.find('timers', timers.TimerService),
         kernel.find('counters', counters.Counters),
         kernel.find('randomness', random.Random),
-        given.timing.probe_period_s,
-        given.timing.probe_timeout_s,
-        given.timing.suspicion_s,
+        settings.timing.probe_period_s,
+        settings.timing.probe_timeout_s,
+        settings.timing.suspicion_s,
     )
     prober.pings.encode = wire.member_to_wire
     prober.pings.decode = wire.member_from_wire
@@ -107,13 +107,13 @@
 
 
 def _add_sources(kernel: registry.Kernel) -> None:
-    """Register all from which facts come: uplinks, peers, the store."""
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    """Register the sources of updates: uplinks, peers and the store."""
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
     counts = kernel.find('counters', counters.Counters)
     randomness = kernel.find('randomness', random.Random)
     store = kernel.find('store', etcd.EtcdStore)
-    zone = given.availability_zone
+    zone = settings.availability_zone
     ups = uplinks.Uplinks(
         replica,
         kernel.find('links', links.LinkTable),
@@ -126,12 +126,12 @@
     kernel.register(
         'reconciler', reconcile.Reconciler(replica, counts, zone, randomness)
     )
-    source = sources.Source(store, given.mesh, replica, counts, randomness)
+    source = sources.Source(store, settings.mesh, replica, counts, randomness)
     kernel.register('source', source)
     ups.on_place.append(source.follow_place)
     kernel.register(
         'seeds',
         seeds.SeedKeeper(
-            store, given.mesh, given.timing.seed_period_s, counts
+            store, settings.mesh, settings.timing.seed_period_s, counts
         ),
     )
--- a/src/peridotpost/daemon/discovery.py
+++ b/src/peridotpost/daemon/discovery.py
@@ -1,4 +1,4 @@
-"""How daemons find one another by the bootstrap records in the store."""
+"""Discovery of other daemons through bootstrap records in the store."""
 
 import asyncio
 import random
@@ -11,61 +11,62 @@
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import replica as replicas
 from peridotpost.kernel import registry
-from peridotpost.membership import myself as own
+from peridotpost.membership import myself
 from peridotpost.membership import seeds
 
-ATTEMPTS = 5
-BASE_S = 0.2
+MAX_ATTEMPTS = 5
+BASE_DELAY_S = 0.2
 
 
-class Meeting:
-    """Keeps the own bootstrap record and looks at those of others."""
+class MemberDiscovery:
+    """Maintains this daemon's bootstrap record and reads the others."""
 
     def __init__(self, kernel: registry.Kernel) -> None:
-        given = kernel.find('settings', settings_border.DaemonSettings)
-        self.zone = given.availability_zone
+        settings = kernel.find('settings', settings_border.DaemonSettings)
+        self.zone = settings.availability_zone
         self.randomness = kernel.find('randomness', random.Random)
         self.replica = kernel.find('replica', replicas.Replica)
-        self.myself = kernel.find('myself', own.Myself)
+        self.local_member = kernel.find('myself', myself.Myself)
         self.keeper = kernel.find('seeds', seeds.SeedKeeper)
         self.reconciler = kernel.find('reconciler', reconcile.Reconciler)
         self.renewals = 0
 
-    async def meet_others(self) -> None:
-        """Look for other members until one is known, a few times.
+    async def discover_members(self) -> None:
+        """Look for other members until one is known, with limited attempts.
 
-        A whole fleet that starts at once finds no bootstrap record on its
-        first read, since nobody has written one yet.
+        When a whole fleet starts at once, the first read finds no bootstrap
+        record, because no daemon has written one yet.
         """
-        backoff = pacing.Backoff(self.randomness, base_s=BASE_S)
-        for _ in range(ATTEMPTS):
-            await self.keep_seed()
+        backoff = pacing.Backoff(self.randomness, base_s=BASE_DELAY_S)
+        for _ in range(MAX_ATTEMPTS):
+            await self.maintain_seed()
             if len(self.replica.fleet.records) > 1:
                 return
             await asyncio.sleep(backoff.next_delay())
 
-    async def keep_seed(self) -> None:
-        """Renew the own record where one is due; look at others' at times."""
+    async def maintain_seed(self) -> None:
+        """Renew this daemon's record if due; occasionally read the others."""
         hosts = self.replica.fleet.live_hosts(self.zone)
-        due = await self.keeper.tick(self.myself.record, hosts)
-        alone = len(hosts) <= 1
-        if alone or (due and seed_rules.looks_for_others(self.renewals)):
-            await self._join_islands()
+        due = await self.keeper.tick(self.local_member.record, hosts)
+        is_alone = len(hosts) <= 1
+        if is_alone or (due and seed_rules.looks_for_others(self.renewals)):
+            await self._query_unknown_members()
         self.renewals += due
 
-    async def _join_islands(self) -> None:
-        """Ask one seed of each zone that this daemon does not know.
+    async def _query_unknown_members(self) -> None:
+        """Query one seed that is not known to be live in each zone.
 
-        Two groups that started apart, or were cut off for longer than the
-        dead are probed, would otherwise never hear of each other.
+        Two groups would otherwise never find each other if they started
+        separately, or were partitioned for longer than dead members are
+        probed.
         """
         found = await self.keeper.find(self.zone, self.randomness)
         if isinstance(found, result.Err):
             return
-        asked: set[str] = set()
+        queried: set[str] = set()
         for seed in found.ok_value:
             known = self.replica.fleet.records.get(seed.host)
-            if (known and known.live) or seed.availability_zone in asked:
+            if (known and known.live) or seed.availability_zone in queried:
                 continue
-            asked.add(seed.availability_zone)
+            queried.add(seed.availability_zone)
             await self.reconciler.ask(seed.control_address)
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -1,4 +1,4 @@
-"""How a fresh daemon becomes a member: first facts, others, timers."""
+"""Joining the fleet: initial state, discovery of members, timers."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 
 from peridotpost.border import settings as settings_border
 from peridotpost.calls import views
-from peridotpost.daemon import meeting
+from peridotpost.daemon import discovery
 from peridotpost.decisions import seeds as seed_rules
 from peridotpost.decisions import versions as version_rules
 from peridotpost.distribution import reconcile
@@ -19,136 +19,138 @@
 from peridotpost.kernel import logs
 from peridotpost.kernel import registry
 from peridotpost.kernel import timers
-from peridotpost.membership import myself as own
+from peridotpost.membership import myself
 from peridotpost.membership import probing
 from peridotpost.membership import seeds
-from peridotpost.membership import targets as local
+from peridotpost.membership import targets as local_targets
 from peridotpost.model import config
 from peridotpost.model import members
 
 RECONCILE_JITTER = 0.5
-FORGET_PERIOD_S = 60.0
+FORGET_INTERVAL_S = 60.0
 
 
 @contextlib.asynccontextmanager
 async def joined(kernel: registry.Kernel) -> AsyncIterator[None]:
-    """Join the fleet; ready once the body runs."""
-    _hang_on_hooks(kernel)
+    """Join the fleet; the daemon is ready when the body runs."""
+    _subscribe_listeners(kernel)
     async with contextlib.AsyncExitStack() as stack:
         await stack.enter_async_context(
             sources.following(kernel.find('source', sources.Source))
         )
-        await _first_facts(kernel)
+        await _read_initial_state(kernel)
         await stack.enter_async_context(
             uplinks.holding(kernel.find('uplinks', uplinks.Uplinks))
         )
-        met = meeting.Meeting(kernel)
-        _subscribe_timers(kernel, met)
-        await met.meet_others()
+        finder = discovery.MemberDiscovery(kernel)
+        _subscribe_timers(kernel, finder)
+        await finder.discover_members()
         await _follow_schedule(kernel)
-        myself = kernel.find('myself', own.Myself)
-        myself.stage = own.Stage.READY
+        local_member = kernel.find('myself', myself.Myself)
+        local_member.stage = myself.Stage.READY
         logs.state_changed(
             'stage',
-            host=myself.record.host,
+            host=local_member.record.host,
             to='ready',
-            incarnation=myself.record.incarnation,
+            incarnation=local_member.record.incarnation,
         )
         yield
 
 
-def _hang_on_hooks(kernel: registry.Kernel) -> None:
-    """Let each part hear what it has to of the others."""
-    given = kernel.find('settings', settings_border.DaemonSettings)
+def _subscribe_listeners(kernel: registry.Kernel) -> None:
+    """Subscribe the services to each other's changes."""
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
-    myself = kernel.find('myself', own.Myself)
+    local_member = kernel.find('myself', myself.Myself)
     prober = kernel.find('prober', probing.Prober)
-    targets = kernel.find('targets', local.LocalTargets)
+    targets = kernel.find('targets', local_targets.LocalTargets)
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
 
-    def own_record_changed(record: members.MemberRecord) -> None:
+    def on_own_record_changed(record: members.MemberRecord) -> None:
         replica.offer_member(record, '')
         if not replica.interest.everything:
             replica.set_interest(
                 config.Interest(
-                    ingress=given.ingress, hosted=targets.services()
+                    ingress=settings.ingress, hosted=targets.services()
                 )
             )
 
-    def fact_changed(change: replicas.FactChange) -> None:
+    def on_fact_changed(change: replicas.FactChange) -> None:
         if change.member is None:
             return
         prober.observe(change.member)
-        if change.member.host == given.host and change.source:
-            myself.refute(change.member)
+        if change.member.host == settings.host and change.source:
+            local_member.refute(change.member)
 
-    def thawed() -> None:
-        # After an own pause, learn at once what was missed.
+    def reconcile_after_pause() -> None:
+        # Fetch at once what was missed while this process was paused.
         asyncio.ensure_future(reconciler.tick())
 
-    replica.offer_member(myself.record, '')
-    myself.changed.subscribe(own_record_changed)
-    replica.changed.subscribe(fact_changed)
-    prober.paused.append(thawed)
+    replica.offer_member(local_member.record, '')
+    local_member.changed.subscribe(on_own_record_changed)
+    replica.changed.subscribe(on_fact_changed)
+    prober.paused.append(reconcile_after_pause)
 
 
-async def _first_facts(kernel: registry.Kernel) -> None:
-    """Take the highest version of the store and several peers.
+async def _read_initial_state(kernel: registry.Kernel) -> None:
+    """Adopt the highest version found in the store and on several peers.
 
-    A daemon that returns while the store is out would otherwise serve
-    nothing, or what one stale peer still holds.
+    A daemon that restarts during an outage of the store would otherwise
+    serve nothing, or the outdated version of a single peer.
     """
-    given = kernel.find('settings', settings_border.DaemonSettings)
+    settings = kernel.find('settings', settings_border.DaemonSettings)
     randomness = kernel.find('randomness', random.Random)
     source = kernel.find('source', sources.Source)
     ups = kernel.find('uplinks', uplinks.Uplinks)
     keeper = kernel.find('seeds', seeds.SeedKeeper)
-    mine = kernel.find('myself', own.Myself).record.control_address
-    start = seed_rules.StartPacing(randomness, given.timing.start_spread_s)
-    await asyncio.sleep(start.first_delay())
+    own_address = kernel.find('myself', myself.Myself).record.control_address
+    pacing = seed_rules.StartPacing(randomness, settings.timing.start_spread_s)
+    await asyncio.sleep(pacing.first_delay())
     while True:
-        found = await keeper.find(given.availability_zone, randomness)
-        read = False
-        addresses = list(given.peers)
+        found = await keeper.find(settings.availability_zone, randomness)
+        store_read = False
+        addresses = list(settings.peers)
         randomness.shuffle(addresses)
         if isinstance(found, result.Ok):
-            read = await source.read_once()
+            store_read = await source.read_once()
             addresses += [one.control_address for one in found.ok_value]
-        elif not start.failures:
+        elif not pacing.failures:
             logs.state_changed(
                 'start', to='waiting-for-store', error=str(found.err_value)
             )
-        addresses = [one for one in addresses if one != mine]
+        addresses = [one for one in addresses if one != own_address]
         ups.bootstrap = tuple(addresses)
-        if await _ask_peers(kernel, read, addresses):
+        if await _ask_peers(kernel, store_read, addresses):
             return
-        await asyncio.sleep(start.next_delay())
+        await asyncio.sleep(pacing.next_delay())
 
 
 async def _ask_peers(
     kernel: registry.Kernel, store_read: bool, addresses: list[str]
 ) -> bool:
-    """Ask a few peers at a time until enough of them hold a version."""
+    """Ask peers in small groups until enough of them have a version."""
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
-    step = version_rules.FIRST_READ_PEERS
-    holding = 0
-    for start in range(0, max(1, len(addresses)), step):
-        group = addresses[start : start + step]
-        answers = await asyncio.gather(*map(reconciler.ask, group))
-        holding += sum(bool(revision) for revision in answers)
+    group_size = version_rules.FIRST_READ_PEERS
+    with_version = 0
+    for start in range(0, max(1, len(addresses)), group_size):
+        group = addresses[start : start + group_size]
+        revisions = await asyncio.gather(*map(reconciler.ask, group))
+        with_version += sum(bool(revision) for revision in revisions)
         asked = start + len(group)
         if version_rules.heard_enough(
-            store_read, holding, asked, len(addresses)
+            store_read, with_version, asked, len(addresses)
         ):
             return True
     return False
 
 
-def _subscribe_timers(kernel: registry.Kernel, met: meeting.Meeting) -> None:
+def _subscribe_timers(
+    kernel: registry.Kernel, finder: discovery.MemberDiscovery
+) -> None:
     timing = kernel.find('settings', settings_border.DaemonSettings).timing
     clock = kernel.find('timers', timers.TimerService)
     replica = kernel.find('replica', replicas.Replica)
-    targets = kernel.find('targets', local.LocalTargets)
+    targets = kernel.find('targets', local_targets.LocalTargets)
     prober = kernel.find('prober', probing.Prober)
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
 
@@ -165,17 +167,17 @@
         reconciler.tick,
         RECONCILE_JITTER,
     )
-    clock.subscribe('seeds', timing.seed_period_s, met.keep_seed)
+    clock.subscribe('seeds', timing.seed_period_s, finder.maintain_seed)
     clock.subscribe(
         'target-expiry',
-        timing.target_ttl_s / local.EXPIRY_CHECKS,
+        timing.target_ttl_s / local_targets.EXPIRY_CHECKS,
         expire_targets,
     )
-    clock.subscribe('forget', FORGET_PERIOD_S, forget_departed)
+    clock.subscribe('forget', FORGET_INTERVAL_S, forget_departed)
 
 
 async def _follow_schedule(kernel: registry.Kernel) -> None:
-    """Hold the owners' schedule before the first call is taken."""
+    """Load the schedule of key owners before the first call is accepted."""
     keeper = kernel.find('schedule', views.ScheduleKeeper)
     await keeper.tick()
     clock = kernel.find('timers', timers.TimerService)
--- a/testing/zones.py
+++ b/testing/zones.py
@@ -1,8 +1,8 @@
-"""Daemons of several availability zones on one loop, and who reaches whom.
+"""Daemons of several availability zones on one loop, with partitions.
 
-The fakes stand at two interfaces: the dialler by which daemons open
-channels to each other, and one stand-in of the platform for each zone, all
-with one state, so that a zone can lose it alone.
+Two interfaces are faked: the dialler through which daemons open channels to
+each other, and the platform.  Each zone has its own stand-in of the platform,
+so that a single zone can lose it; all stand-ins share one state.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 from testing import conditions
 
 WAIT_S = 30.0
-RECONCILE_S = 0.5
+RECONCILE_INTERVAL_S = 0.5
 TIMING = settings_border.TimingSettings(
     probe_period_s=0.5,
     suspicion_s=2.0,
@@ -43,8 +43,8 @@
 )
 
 
-class Zones:
-    """A mesh in one process whose zones a test cuts and heals."""
+class ZonedMesh:
+    """A mesh in one process, whose zones a test partitions and heals."""
 
     def __init__(self, text: str, stack: contextlib.AsyncExitStack) -> None:
         self.text = text
@@ -53,26 +53,28 @@
         self.platforms: dict[str, platform_standin.Platform] = {}
         self.endpoints: dict[str, str] = {}
         self.daemons: dict[str, assembly.Daemon] = {}
-        self.zone_at: dict[str, str] = {}
-        self.cuts: set[frozenset[str]] = set()
-        self.stream_cuts: set[frozenset[str]] = set()
+        self.zone_by_address: dict[str, str] = {}
+        self.partitions: set[frozenset[str]] = set()
+        self.stream_partitions: set[frozenset[str]] = set()
         self.channels: list[tuple[frozenset[str], aio.Channel]] = []
-        self.lowest: dict[str, int] = {}
+        self.last_revisions: dict[str, int] = {}
 
     async def open_platform(self) -> None:
         for zone in self.mesh.availability_zones:
-            one = platform_standin.Platform()
+            platform = platform_standin.Platform()
             if self.platforms:
-                one.state = next(iter(self.platforms.values())).state
-                one.lease_ids = next(iter(self.platforms.values())).lease_ids
+                platform.state = next(iter(self.platforms.values())).state
+                platform.lease_ids = next(
+                    iter(self.platforms.values())
+                ).lease_ids
             port = await self.stack.enter_async_context(
-                platform_standin.serving(one, '127.0.0.1', 0)
+                platform_standin.serving(platform, '127.0.0.1', 0)
             )
-            self.platforms[zone] = one
+            self.platforms[zone] = platform
             self.endpoints[zone] = f'http://127.0.0.1:{port}'
 
     async def start(self, host: str, zone: str, *peers: str) -> None:
-        """Start a daemon and wait until it serves."""
+        """Start a daemon and wait until it is ready."""
         plain = {
             'host': host,
             'availability_zone': zone,
@@ -85,43 +87,45 @@
         }
         settings = settings_border.DaemonSettings.model_validate(plain)
         settings = settings.model_copy(update={'timing': TIMING})
-        one = assembly.Daemon(settings, seed=len(self.daemons))
-        self.daemons[host] = one
-        after_control = one.parts.index(control.installed) + 1
-        one.parts.insert(after_control, self.cuttable(zone))
-        await self.stack.enter_async_context(one.running())
-        self.lowest[host] = self.revision(host)
+        daemon = assembly.Daemon(settings, seed=len(self.daemons))
+        self.daemons[host] = daemon
+        after_control = daemon.components.index(control.installed) + 1
+        daemon.components.insert(after_control, self.respect_partitions(zone))
+        await self.stack.enter_async_context(daemon.running())
+        self.last_revisions[host] = self.revision(host)
         self.replica(host).changed.subscribe(
             lambda _: self._check_not_lower(host)
         )
 
-    def cuttable(self, zone: str) -> assembly.Part:
-        """Return a part that dials only where no cut is."""
+    def respect_partitions(self, zone: str) -> assembly.Component:
+        """Return a component that makes dialling respect the partitions."""
 
         @contextlib.asynccontextmanager
         async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
             ups = kernel.find('uplinks', uplinks.Uplinks)
-            asks = kernel.find('reconciler', reconcile.Reconciler)
-            ups.dial = self.dial_from(zone, self.stream_cuts)
-            asks.dial = self.dial_from(zone, self.cuts)
+            reconciler = kernel.find('reconciler', reconcile.Reconciler)
+            ups.dial = self.dial_from(zone, self.stream_partitions)
+            reconciler.dial = self.dial_from(zone, self.partitions)
             record = kernel.find('myself', own.Myself).record
-            self.zone_at[record.control_address] = zone
+            self.zone_by_address[record.control_address] = zone
             yield
 
         return installed
 
     def _check_not_lower(self, host: str) -> None:
         revision = self.revision(host)
-        assert revision >= self.lowest[host]
-        self.lowest[host] = revision
+        assert revision >= self.last_revisions[host]
+        self.last_revisions[host] = revision
 
-    def dial_from(self, zone: str, cuts: set[frozenset[str]]) -> dialling.Dial:
+    def dial_from(
+        self, zone: str, partitions: set[frozenset[str]]
+    ) -> dialling.Dial:
         @contextlib.asynccontextmanager
         async def dial(address: str) -> AsyncIterator[aio.Channel]:
-            pair = frozenset({zone, self.zone_at[address]})
-            if pair in cuts:
+            pair = frozenset({zone, self.zone_by_address[address]})
+            if pair in partitions:
                 raise errors.PeridotError(
-                    'cut off by the test', step='test.dial', peer=address
+                    'partitioned by the test', step='test.dial', peer=address
                 )
             async with dialling.dial(address) as channel:
                 entry = (pair, channel)
@@ -133,40 +137,44 @@
 
         return dial
 
-    async def cut(self, *pairs: tuple[str, str]) -> None:
-        """Cut pairs of zones off from each other, standing streams too."""
-        self.cuts |= {frozenset(pair) for pair in pairs}
-        await self.cut_streams(*pairs)
+    async def partition(self, *pairs: tuple[str, str]) -> None:
+        """Partition pairs of zones; existing streams are closed as well."""
+        self.partitions |= {frozenset(pair) for pair in pairs}
+        await self.partition_streams(*pairs)
 
-    async def cut_streams(self, *pairs: tuple[str, str]) -> None:
-        """Cut standing streams alone; single questions get through."""
-        self.stream_cuts |= {frozenset(pair) for pair in pairs}
+    async def partition_streams(self, *pairs: tuple[str, str]) -> None:
+        """Partition only the streams; single requests still get through."""
+        self.stream_partitions |= {frozenset(pair) for pair in pairs}
         for pair, channel in tuple(self.channels):
-            if pair in self.stream_cuts:
+            if pair in self.stream_partitions:
                 await channel.close()
 
     def heal(self) -> None:
-        self.cuts.clear()
-        self.stream_cuts.clear()
+        self.partitions.clear()
+        self.stream_partitions.clear()
         for platform in self.platforms.values():
             platform.set_faults(platform_standin.Faults())
 
-    def reconcile_often(self) -> None:
-        """Let every daemon ask a random member each half second."""
-        for one in self.daemons.values():
-            asks = one.kernel.find('reconciler', reconcile.Reconciler)
-            clock = one.kernel.find('timers', timers.TimerService)
-            clock.subscribe('test-reconcile', RECONCILE_S, asks.tick)
+    def reconcile_frequently(self) -> None:
+        """Let every daemon reconcile with a random member each half second."""
+        for daemon in self.daemons.values():
+            reconciler = daemon.kernel.find('reconciler', reconcile.Reconciler)
+            clock = daemon.kernel.find('timers', timers.TimerService)
+            clock.subscribe(
+                'test-reconcile', RECONCILE_INTERVAL_S, reconciler.tick
+            )
 
-    def cut_from_platform(self, zone: str) -> None:
+    def start_platform_outage(self, zone: str) -> None:
         faults = platform_standin.Faults(outage=True)
         self.platforms[zone].set_faults(faults)
 
     def others(self, zone: str) -> list[str]:
-        return [one for one in self.mesh.availability_zones if one != zone]
+        return [
+            other for other in self.mesh.availability_zones if other != zone
+        ]
 
     async def accept(self, note: str, via: str) -> int:
-        """Accept the text once more and return its revision."""
+        """Accept the same configuration again and return its revision."""
         with etcd.etcd_store(
             [self.endpoints[via]], 1.0, 5.0, counters.Counters()
         ) as store:
@@ -181,11 +189,11 @@
                 base_revision=head.revision if head else 0,
                 text=self.text,
             )
-            won = await versions.accept(
+            outcome = await versions.accept(
                 store, self.mesh.mesh, proposed, asyncio.sleep
             )
-        assert isinstance(won, versions.Won)
-        return won.revision
+        assert isinstance(outcome, versions.Won)
+        return outcome.revision
 
     def replica(self, host: str) -> replicas.Replica:
         return self.daemons[host].kernel.find('replica', replicas.Replica)
@@ -204,17 +212,17 @@
         return self.revision(host) >= revision
 
     def knows(self, host: str, count: int) -> bool:
-        """Whether `host` knows `count` live members."""
+        """Whether `host` knows exactly `count` live members."""
         return len(list(self.replica(host).fleet.live())) == count
 
-    def agree(self) -> bool:
-        """Whether all hold the same fleet, down to each record."""
+    def have_converged(self) -> bool:
+        """Whether all daemons have the same record of every member."""
         fleets = {
             tuple(self.replica(host).fleet.sums) for host in self.daemons
         }
         return len(fleets) == 1
 
-    async def until_in_force(self, revision: int, *hosts: str) -> None:
+    async def wait_until_in_force(self, revision: int, *hosts: str) -> None:
         for host in hosts or self.daemons:
             await conditions.until(
                 functools.partial(self.has_in_force, host, revision),
@@ -223,10 +231,12 @@
 
 
 @contextlib.asynccontextmanager
-async def running(text: str, hosts_per_zone: int = 2) -> AsyncIterator[Zones]:
+async def running(
+    text: str, hosts_per_zone: int = 2
+) -> AsyncIterator[ZonedMesh]:
     """Start every zone's daemons and wait until they know each other."""
     async with contextlib.AsyncExitStack() as stack:
-        zones = Zones(text, stack)
+        zones = ZonedMesh(text, stack)
         await zones.open_platform()
         names = [
             (f'{zone}-{number}', zone)
