--- a/src/peridotpost/reports/__init__.py
+++ b/src/peridotpost/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What the logs of a fleet tell afterwards."""
+"""Reports that are derived from the logs of a fleet."""
--- a/src/peridotpost/reports/story.py
+++ b/src/peridotpost/reports/story.py
@@ -1,16 +1,19 @@
-"""From a request's id to what was decided on it, and why."""
+"""Explains the outcome of a request from the logs of the fleet."""
 
 import dataclasses
 
 from peridotpost.border import loglines
 
-AROUND_S = 8.0
-"""Changes of state so long before the end are told beside it: a lease, a
-suspicion and a drain all take less."""
-SKEW_S = 1.0
-"""Clocks of hosts differ; changes up to so long after the end are told."""
-ENDINGS = frozenset({'refused', 'unknown', 'timeout', 'failed', 'served'})
-STATES = frozenset(
+CONTEXT_S = 8.0
+"""Period before the outcome whose state changes are reported: a lease, a
+suspicion and a drain are all shorter."""
+MAX_CLOCK_SKEW_S = 1.0
+"""State changes up to this long after the outcome are reported as well, since
+the clocks of hosts differ."""
+OUTCOME_EVENTS = frozenset(
+    {'refused', 'unknown', 'timeout', 'failed', 'served'}
+)
+STATE_EVENTS = frozenset(
     {
         'start',
         'stop',
@@ -34,16 +37,16 @@
         'refused, not run: no target of the service was ready and reachable'
     ),
     ('refused', 'too-late'): (
-        'refused, not run: too little of its deadline was left'
+        'refused, not run: too little time was left until its deadline'
     ),
     ('refused', 'leaving'): (
-        'refused, not run: the targets that were asked were leaving'
+        'refused, not run: the targets that were asked were shutting down'
     ),
     ('refused', 'unreachable'): (
-        'refused, not run: the target took no connection'
+        'refused, not run: the target accepted no connection'
     ),
     ('refused', 'poison'): (
-        'refused, not run: requests like it crashed targets before'
+        'refused, not run: similar requests have crashed targets before'
     ),
     ('refused', 'no-config'): (
         'refused, not run: the daemon had no configuration yet'
@@ -52,7 +55,7 @@
         'refused, not run: the configuration has no such route'
     ),
 }
-ENDED = {
+OUTCOME_TEXTS = {
     'unknown': 'it may have run: its answer was lost ({detail})',
     'timeout': 'it may have run: no answer by its deadline ({detail})',
     'failed': "the target's own failure was passed on (status {detail})",
@@ -63,11 +66,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Story:
-    """All that the logs have on a request.
+    """What the logs contain about a request.
 
-    :param steps: lines with its id, in order of time.
-    :param cause: one sentence; says so where the logs don't tell.
-    :param around: changes of state of the hosts concerned.
+    :param steps: log lines with the request's id, sorted by time.
+    :param cause: the outcome's cause in one sentence, or why it is unknown.
+    :param around: state changes of the hosts involved at that time.
     """
 
     request: str
@@ -77,63 +80,69 @@
 
 
 def tell(logs: loglines.Logs, request: str) -> Story:
-    """Collect what the logs have on `request`."""
-    steps = [one for one in logs.lines if one.request == request]
+    """Collect the log lines about `request` and derive its cause."""
+    steps = [line for line in logs.lines if line.request == request]
     if not steps:
-        return Story(request, [], _not_found(logs), [])
-    endings = [one for one in steps if one.event in ENDINGS]
-    if not endings:
+        return Story(request, [], _not_found_cause(logs), [])
+    outcomes = [step for step in steps if step.event in OUTCOME_EVENTS]
+    if not outcomes:
         cause = (
-            'its end is not in the logs: left out under load, or its host '
-            'ended before'
+            'its outcome is not in the logs: the line was left out under '
+            'load, or its host stopped before'
+        )
+        return Story(
+            request, steps, cause, _state_changes(logs, steps, steps[-1])
         )
-        return Story(request, steps, cause, _around(logs, steps, steps[-1]))
-    end = endings[-1]
-    cause = f'{_cause(end)} after {end.elapsed_ms} ms; {_counted(end, steps)}'
-    return Story(request, steps, cause, _around(logs, steps, end))
+    outcome = outcomes[-1]
+    attempts = _attempt_summary(outcome, steps)
+    cause = f'{_cause_of(outcome)} after {outcome.elapsed_ms} ms; {attempts}'
+    return Story(request, steps, cause, _state_changes(logs, steps, outcome))
 
 
-def _cause(end: loglines.LogLine) -> str:
-    why = end.detail or end.reason
-    found = CAUSES.get((end.event, why))
-    return found or ENDED[end.event].format(detail=why)
+def _cause_of(outcome: loglines.LogLine) -> str:
+    why = outcome.detail or outcome.reason
+    cause = CAUSES.get((outcome.event, why))
+    return cause or OUTCOME_TEXTS[outcome.event].format(detail=why)
 
 
-def _counted(end: loglines.LogLine, steps: list[loglines.LogLine]) -> str:
-    declined = [one for one in steps if one.event == 'declined']
-    told = f'{len(end.tried)} guards asked, {end.arrivals} arrivals'
+def _attempt_summary(
+    outcome: loglines.LogLine, steps: list[loglines.LogLine]
+) -> str:
+    declined = [step for step in steps if step.event == 'declined']
+    counts = f'{len(outcome.tried)} guards asked, {outcome.arrivals} arrivals'
     if declined:
-        most = max(declined, key=lambda one: one.wait_ms)
-        told += (
-            f'; at {most.host} {most.running} of {most.slots} slots were '
-            f'taken and {most.waiting} waited, so its turn was '
-            f'{most.wait_ms} ms away and a run takes {most.run_ms} ms'
+        longest = max(declined, key=lambda line: line.wait_ms)
+        counts += (
+            f'; at {longest.host} {longest.running} of {longest.slots} slots '
+            f'were taken and {longest.waiting} requests waited, so its turn '
+            f'was {longest.wait_ms} ms away and a run takes '
+            f'{longest.run_ms} ms'
         )
-    return f'{told}; version {end.version} in force'
+    return f'{counts}; version {outcome.version} in force'
 
 
-def _not_found(logs: loglines.Logs) -> str:
+def _not_found_cause(logs: loglines.Logs) -> str:
     return (
-        'no line has this id: it was served (one in a second is logged), '
+        'no line has this id: it was served (one per second is logged), '
         f'or its line is among the {logs.left_out} that were left out, or '
-        "its host's log is not in the folder"
+        "its host's log is not in the directory"
     )
 
 
-def _around(
+def _state_changes(
     logs: loglines.Logs,
     steps: list[loglines.LogLine],
-    end: loglines.LogLine,
+    outcome: loglines.LogLine,
 ) -> list[loglines.LogLine]:
-    hosts = {one.host for one in steps}
-    for one in steps:
-        hosts.update(one.tried)
-        hosts.add(one.target)
+    hosts = {step.host for step in steps}
+    for step in steps:
+        hosts.update(step.tried)
+        hosts.add(step.target)
     hosts.discard('')
     return [
-        one
-        for one in logs.lines
-        if one.event in STATES
-        and end.at - AROUND_S <= one.at <= end.at + SKEW_S
-        and (one.host in hosts or one.peer in hosts)
+        line
+        for line in logs.lines
+        if line.event in STATE_EVENTS
+        and outcome.at - CONTEXT_S <= line.at <= outcome.at + MAX_CLOCK_SKEW_S
+        and (line.host in hosts or line.peer in hosts)
     ]
--- a/testing/test_reports.py
+++ b/testing/test_reports.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the logs of real proxies."""
+"""Explanations of requests and timelines from the logs of real proxies."""
 
 import asyncio
 import json
@@ -14,21 +14,21 @@
 from testing import proxies
 
 
-def ctl(*arguments: str) -> click_testing.Result:
+def run_peridotctl(*arguments: str) -> click_testing.Result:
     runner = click_testing.CliRunner()
     return runner.invoke(peridotctl.main, arguments)
 
 
-async def full_host(logs: pathlib.Path) -> int:
-    """Have a request refused by a full target; return its status."""
+async def refuse_request(logs: pathlib.Path) -> int:
+    """Have a request refused by a full target; return the status code."""
     async with proxies.full(logs) as host:
         short = {'X_Deadline_Remaining_Ms': '40'}
         answer = await host.ask('/read/ok', attempt='late', **short)
     return answer.status
 
 
-async def lost_answer(logs: pathlib.Path) -> int:
-    """Have a target reset the connection of a request that may not repeat."""
+async def lose_answer(logs: pathlib.Path) -> int:
+    """Have a target reset the connection of a non-idempotent request."""
     async with proxies.running() as mesh:
         mesh.logs = logs
         await mesh.kv.configure(proxies.config())
@@ -36,54 +36,59 @@
         await mesh.add('b', service='vault')
         await first.announce()
         await mesh.ready()
-        taker = mesh.hosts['b']
-        answer = await taker.ask(
+        caller = mesh.hosts['b']
+        answer = await caller.ask(
             '/write/reset', method='POST', attempt='gone', body=b'x'
         )
     return answer.status
 
 
-def test_a_refusal_is_explained_by_the_guard_that_made_it(
+def test_refusal_is_explained_by_the_guard_that_made_it(
     tmp_path: pathlib.Path,
 ) -> None:
-    assert asyncio.run(full_host(tmp_path)) == 503
-    result = ctl('explain', '--logs', str(tmp_path), 'late')
+    assert asyncio.run(refuse_request(tmp_path)) == 503
+    result = run_peridotctl('explain', '--logs', str(tmp_path), 'late')
     assert result.exit_code == 0, result.stdout
     assert 'refused, not run' in result.stdout
     assert '1 of 1 slots were taken' in result.stdout
     assert 'version 1 in force' in result.stdout
 
 
-def test_a_lost_answer_is_explained_across_two_hosts(
+def test_lost_answer_is_explained_across_two_hosts(
     tmp_path: pathlib.Path,
 ) -> None:
-    assert asyncio.run(lost_answer(tmp_path)) == 502
-    result = ctl('explain', '--logs', str(tmp_path), '--json', 'gone')
-    told: dict[str, Any] = json.loads(result.stdout)
-    assert 'its answer was lost' in told['cause']
-    assert [one['event'] for one in told['steps']] == ['lost', 'unknown']
-    assert told['steps'][0]['target'] == 'a'
+    assert asyncio.run(lose_answer(tmp_path)) == 502
+    result = run_peridotctl(
+        'explain', '--logs', str(tmp_path), '--json', 'gone'
+    )
+    explanation: dict[str, Any] = json.loads(result.stdout)
+    assert 'its answer was lost' in explanation['cause']
+    assert [one['event'] for one in explanation['steps']] == [
+        'lost',
+        'unknown',
+    ]
+    assert explanation['steps'][0]['target'] == 'a'
     assert any(
         one['event'] == 'target' and one['host'] == 'a'
-        for one in told['around']
+        for one in explanation['around']
     )
 
 
-def test_an_id_that_is_nowhere_says_why_that_may_be(
+def test_unknown_id_lists_possible_reasons(
     tmp_path: pathlib.Path,
 ) -> None:
     line = {'at': 1.0, 'host': 'a', 'event': 'start', 'left_out': 7}
     (tmp_path / 'a.log').write_text(json.dumps(line) + '\nno line\n')
-    result = ctl('explain', '--logs', str(tmp_path), 'unknown')
+    result = run_peridotctl('explain', '--logs', str(tmp_path), 'unknown')
     assert result.exit_code == 1
     assert 'among the 7 that were left out' in result.stdout
     assert '1 are no log lines' in result.stderr
 
 
-def test_a_folder_without_logs_is_an_error_that_says_what_to_do(
+def test_directory_without_logs_is_an_error(
     tmp_path: pathlib.Path,
 ) -> None:
-    result = ctl('explain', '--logs', str(tmp_path), 'any')
+    result = run_peridotctl('explain', '--logs', str(tmp_path), 'any')
     assert result.exit_code == 1
     assert 'standard output of each daemon' in result.stderr
 
@@ -97,27 +102,35 @@
         ),
     ],
 )
-def test_one_source_has_to_be_named(arguments: tuple[str, ...]) -> None:
-    result = ctl(*arguments)
+def test_exactly_one_source_is_required(arguments: tuple[str, ...]) -> None:
+    result = run_peridotctl(*arguments)
     assert result.exit_code == 2
     assert 'either --daemon or --logs' in result.stderr
 
 
-def test_a_timeline_merges_hosts_and_narrows(tmp_path: pathlib.Path) -> None:
+def test_timeline_merges_hosts_and_filters(tmp_path: pathlib.Path) -> None:
     for host, at in (('a', 2.0), ('b', 1.0)):
         line = {'at': at, 'host': host, 'event': 'config', 'version': 4}
         path = tmp_path / f'{host}.log'
         path.write_text(f'12.5 {host} | {json.dumps(line)}\n')
-    every = ctl('timeline', '--logs', str(tmp_path)).stdout.splitlines()
-    assert [line.split()[1] for line in every] == ['b', 'a']
-    one = ctl('timeline', '--logs', str(tmp_path), '--host', 'a', '--json')
-    assert [row['at'] for row in json.loads(one.stdout)['events']] == [2.0]
-    none = ctl('timeline', '--logs', str(tmp_path), '--revision', '9')
-    assert none.exit_code == 1
+    merged = run_peridotctl(
+        'timeline', '--logs', str(tmp_path)
+    ).stdout.splitlines()
+    assert [line.split()[1] for line in merged] == ['b', 'a']
+    filtered = run_peridotctl(
+        'timeline', '--logs', str(tmp_path), '--host', 'a', '--json'
+    )
+    assert [row['at'] for row in json.loads(filtered.stdout)['events']] == [
+        2.0
+    ]
+    empty = run_peridotctl(
+        'timeline', '--logs', str(tmp_path), '--revision', '9'
+    )
+    assert empty.exit_code == 1
 
 
 @pytest.mark.parametrize(
-    ('event', 'detail', 'words'),
+    ('event', 'detail', 'text'),
     [
         pytest.param('refused', 'no-target', 'no target', id='no target'),
         pytest.param('refused', 'poison', 'crashed targets', id='poison'),
@@ -126,22 +139,26 @@
         pytest.param('served', '200', 'was served', id='served'),
     ],
 )
-def test_each_ending_has_its_sentence(
-    event: str, detail: str, words: str
-) -> None:
+def test_each_outcome_is_described(event: str, detail: str, text: str) -> None:
     line = loglines.LogLine(5.0, 'a', event, request='r', detail=detail)
-    told = story.tell(loglines.Logs([line], 0), 'r')
-    assert words in told.cause
+    explanation = story.tell(loglines.Logs([line], 0), 'r')
+    assert text in explanation.cause
 
 
-def test_changes_long_before_or_elsewhere_are_left_out() -> None:
-    def state(at: float, host: str, peer: str = '') -> loglines.LogLine:
+def test_state_changes_long_before_or_elsewhere_are_omitted() -> None:
+    def state_change(at: float, host: str, peer: str = '') -> loglines.LogLine:
         return loglines.LogLine(at, host, 'member', peer=peer, to='cut-off')
 
-    end = loglines.LogLine(
+    outcome = loglines.LogLine(
         100.0, 'a', 'timeout', request='r', target='b', tried=['b']
     )
-    near, named = state(99.0, 'b'), state(98.0, 'c', peer='b')
-    lines = [state(80.0, 'b'), named, near, end, state(99.5, 'd')]
-    told = story.tell(loglines.Logs(lines, 0), 'r')
-    assert told.around == [named, near]
+    near, of_peer = state_change(99.0, 'b'), state_change(98.0, 'c', peer='b')
+    lines = [
+        state_change(80.0, 'b'),
+        of_peer,
+        near,
+        outcome,
+        state_change(99.5, 'd'),
+    ]
+    explanation = story.tell(loglines.Logs(lines, 0), 'r')
+    assert explanation.around == [of_peer, near]
