--- a/src/peridotpost/border/document.py
+++ b/src/peridotpost/border/document.py
@@ -78,8 +78,9 @@
     if error_type == 'extra_forbidden':
         return 'is not a known field; remove it or correct its spelling'
     message = str(details['msg'])
-    value = f'{details["input"]!r:.80}'
-    return f'{message[0].lower()}{message[1:]} (found {value})'
+    return (
+        f'{message[0].lower()}{message[1:]} (found {details["input"]!r:.80})'
+    )
 
 
 def read_yaml(text: str, file: str) -> Document:
--- a/src/peridotpost/border/reference.py
+++ b/src/peridotpost/border/reference.py
@@ -107,15 +107,20 @@
     summary, descriptions = _parse_docstring(struct.__doc__)
     fields, nested = [], []
     for field in info.fields:
-        name = field.name
         type_name, inner = _struct_type(field.type)
         if inner is not None:
-            nested.append((f'{path}.{name}'.lstrip('.'), inner))
+            nested.append((f'{path}.{field.name}'.lstrip('.'), inner))
         default = ''
         if not field.required:
             default = _format_default(field.default)
-        description = descriptions.get(name, '')
-        fields.append(Field(name, type_name, default, description))
+        fields.append(
+            Field(
+                field.name,
+                type_name,
+                default,
+                descriptions.get(field.name, ''),
+            )
+        )
     yield Section(path, summary, fields)
     for inner_path, inner in nested:
         yield from _struct_sections(inner, inner_path)
@@ -162,8 +167,9 @@
         default = (
             '' if name in required else _format_default(field.get('default'))
         )
-        description = descriptions.get(name, '')
-        fields.append(Field(name, type_name, default, description))
+        fields.append(
+            Field(name, type_name, default, descriptions.get(name, ''))
+        )
     yield Section(path, summary, fields)
     for inner_path, inner in nested:
         if inner_path not in visited:
--- a/src/peridotpost/model/mesh.py
+++ b/src/peridotpost/model/mesh.py
@@ -75,7 +75,7 @@
             self.by_host.setdefault(route.host, []).append(route)
         # Longest prefix first, so that the first match is the most specific.
         for host_routes in self.by_host.values():
-            host_routes.sort(key=lambda route: -len(route.prefix))
+            host_routes.sort(key=lambda entry: -len(entry.prefix))
 
     def find(self, host: str, path: str) -> PathRoute | None:
         """Return the route with the longest prefix that matches `path`."""
--- a/src/peridotpost/reports/story.py
+++ b/src/peridotpost/reports/story.py
@@ -94,8 +94,10 @@
             request, steps, cause, _state_changes(logs, steps, steps[-1])
         )
     outcome = outcomes[-1]
-    attempts = _attempt_summary(outcome, steps)
-    cause = f'{_cause_of(outcome)} after {outcome.elapsed_ms} ms; {attempts}'
+    cause = (
+        f'{_cause_of(outcome)} after {outcome.elapsed_ms} ms; '
+        f'{_attempt_summary(outcome, steps)}'
+    )
     return Story(request, steps, cause, _state_changes(logs, steps, outcome))
 
 
