--- a/src/peridotpost/admin/handlers.py
+++ b/src/peridotpost/admin/handlers.py
@@ -145,7 +145,7 @@
     """Return the daemon's status."""
     local_member = kernel.find('myself', myself.Myself)
     replica = kernel.find('replica', replicas.Replica)
-    ups = kernel.find('uplinks', uplinks.Uplinks)
+    uplink_set = kernel.find('uplinks', uplinks.Uplinks)
     source = kernel.find('source', sources.Source)
     servicer = kernel.find('control', control.ControlServicer)
     usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -156,8 +156,8 @@
         revision=replica.version.revision,
         write_id=replica.version.write_id,
         digest=replica.version.digest.hex(),
-        relay=ups.place.relay,
-        parent=[parent.peer for parent in ups.wanted.values()],
+        relay=uplink_set.place.relay,
+        parent=[parent.peer for parent in uplink_set.wanted.values()],
         children=servicer.children,
         store_reachable=source.reachable,
         resident_kib=resident_kib(),
--- a/src/peridotpost/border/proxy.py
+++ b/src/peridotpost/border/proxy.py
@@ -103,7 +103,7 @@
 def load(path: pathlib.Path) -> ProxySettings:
     """Read and validate a settings file.
 
-    :raises BadSettings: with the file, the field and the error.
+    :raises InvalidSettings: with the file, the field and the error.
     """
     try:
         raw = path.read_bytes()
--- a/src/peridotpost/daemon/base.py
+++ b/src/peridotpost/daemon/base.py
@@ -21,10 +21,10 @@
 async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
     """Register counters, timers, timeline, store and replica."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
-    randomness = kernel.find('randomness', random.Random)
+    rng = kernel.find('randomness', random.Random)
     counts = counters.Counters()
     with contextlib.ExitStack() as stack:
-        clock = stack.enter_context(timers.timer_service(randomness))
+        clock = stack.enter_context(timers.timer_service(rng))
         events = timeline.Timeline(settings.host, clock.wall)
         kernel.register('counters', counts)
         kernel.register('timers', clock)
--- a/src/peridotpost/daemon/calls.py
+++ b/src/peridotpost/daemon/calls.py
@@ -145,7 +145,7 @@
     settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
     counts = kernel.find('counters', counters.Counters)
-    randomness = kernel.find('randomness', random.Random)
+    rng = kernel.find('randomness', random.Random)
     keeper = views.ScheduleKeeper(
         kernel.find('store', etcd.EtcdStore),
         settings.mesh,
@@ -154,7 +154,7 @@
         counts,
         round(settings.once.lead_s * views.MS_IN_S),
         streams,
-        randomness,
+        rng,
     )
     kernel.register('schedule', keeper)
     owner = owners.Owner(
@@ -166,7 +166,7 @@
         kernel.find('myself', myself.Myself),
         kernel.find('timeline', timeline.Timeline),
         counts,
-        randomness,
+        rng,
         ownership.ClockBound(
             round(settings.once.clock_bound_s * views.MS_IN_S)
         ),
--- a/src/peridotpost/daemon/control.py
+++ b/src/peridotpost/daemon/control.py
@@ -111,24 +111,24 @@
     settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
     counts = kernel.find('counters', counters.Counters)
-    randomness = kernel.find('randomness', random.Random)
+    rng = kernel.find('randomness', random.Random)
     store = kernel.find('store', etcd.EtcdStore)
     zone = settings.availability_zone
-    ups = uplinks.Uplinks(
+    uplink_set = uplinks.Uplinks(
         replica,
         kernel.find('links', links.LinkTable),
         counts,
         zone,
-        randomness,
+        rng,
     )
-    ups.ping = kernel.find('prober', probing.Prober).answers
-    kernel.register('uplinks', ups)
+    uplink_set.ping = kernel.find('prober', probing.Prober).answers
+    kernel.register('uplinks', uplink_set)
     kernel.register(
-        'reconciler', reconcile.Reconciler(replica, counts, zone, randomness)
+        'reconciler', reconcile.Reconciler(replica, counts, zone, rng)
     )
-    source = sources.Source(store, settings.mesh, replica, counts, randomness)
+    source = sources.Source(store, settings.mesh, replica, counts, rng)
     kernel.register('source', source)
-    ups.on_place.append(source.follow_place)
+    uplink_set.on_place.append(source.follow_place)
     kernel.register(
         'seeds',
         seeds.SeedKeeper(
--- a/src/peridotpost/daemon/discovery.py
+++ b/src/peridotpost/daemon/discovery.py
@@ -24,7 +24,7 @@
     def __init__(self, kernel: registry.Kernel) -> None:
         settings = kernel.find('settings', settings_border.DaemonSettings)
         self.zone = settings.availability_zone
-        self.randomness = kernel.find('randomness', random.Random)
+        self.rng = kernel.find('randomness', random.Random)
         self.replica = kernel.find('replica', replicas.Replica)
         self.local_member = kernel.find('myself', myself.Myself)
         self.keeper = kernel.find('seeds', seeds.SeedKeeper)
@@ -37,7 +37,7 @@
         When a whole fleet starts at once, the first read finds no bootstrap
         record, because no daemon has written one yet.
         """
-        backoff = pacing.Backoff(self.randomness, base_s=BASE_DELAY_S)
+        backoff = pacing.Backoff(self.rng, base_s=BASE_DELAY_S)
         for _ in range(MAX_ATTEMPTS):
             await self.maintain_seed()
             if len(self.replica.fleet.records) > 1:
@@ -60,11 +60,11 @@
         separately, or were partitioned for longer than dead members are
         probed.
         """
-        found = await self.keeper.find(self.zone, self.randomness)
-        if isinstance(found, result.Err):
+        stored_seeds = await self.keeper.find(self.zone, self.rng)
+        if isinstance(stored_seeds, result.Err):
             return
         queried: set[str] = set()
-        for seed in found.ok_value:
+        for seed in stored_seeds.ok_value:
             known = self.replica.fleet.records.get(seed.host)
             if (known and known.live) or seed.availability_zone in queried:
                 continue
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -93,33 +93,39 @@
 
 
 async def _read_initial_state(kernel: registry.Kernel) -> None:
-    """Adopt the highest version found in the store and on several peers.
+    """Adopt the highest version stored_seeds in the store and on several peers.
 
     A daemon that restarts during an outage of the store would otherwise
     serve nothing, or the outdated version of a single peer.
     """
     settings = kernel.find('settings', settings_border.DaemonSettings)
-    randomness = kernel.find('randomness', random.Random)
+    rng = kernel.find('randomness', random.Random)
     source = kernel.find('source', sources.Source)
-    ups = kernel.find('uplinks', uplinks.Uplinks)
+    uplink_set = kernel.find('uplinks', uplinks.Uplinks)
     keeper = kernel.find('seeds', seeds.SeedKeeper)
     own_address = kernel.find('myself', myself.Myself).record.control_address
-    pacing = seed_rules.StartPacing(randomness, settings.timing.start_spread_s)
+    pacing = seed_rules.StartPacing(rng, settings.timing.start_spread_s)
     await asyncio.sleep(pacing.first_delay())
     while True:
-        found = await keeper.find(settings.availability_zone, randomness)
+        stored_seeds = await keeper.find(settings.availability_zone, rng)
         store_read = False
         addresses = list(settings.peers)
-        randomness.shuffle(addresses)
-        if isinstance(found, result.Ok):
+        rng.shuffle(addresses)
+        if isinstance(stored_seeds, result.Ok):
             store_read = await source.read_once()
-            addresses += [one.control_address for one in found.ok_value]
+            addresses += [
+                seed.control_address for seed in stored_seeds.ok_value
+            ]
         elif not pacing.failures:
             logs.state_changed(
-                'start', to='waiting-for-store', error=str(found.err_value)
+                'start',
+                to='waiting-for-store',
+                error=str(stored_seeds.err_value),
             )
-        addresses = [one for one in addresses if one != own_address]
-        ups.bootstrap = tuple(addresses)
+        addresses = [
+            address for address in addresses if address != own_address
+        ]
+        uplink_set.bootstrap = tuple(addresses)
         if await _ask_peers(kernel, store_read, addresses):
             return
         await asyncio.sleep(pacing.next_delay())
--- a/src/peridotpost/model/forwarding.py
+++ b/src/peridotpost/model/forwarding.py
@@ -52,7 +52,7 @@
 
     :param retry_after_s: time until a slot is expected to be free; 0 if
         unknown.
-    :param reached_target: whether the target itself refused the request.
+    :param arrived: whether the target itself refused the request.
     """
 
     reason: Refusal
--- a/testing/test_reports.py
+++ b/testing/test_reports.py
@@ -61,16 +61,16 @@
     result = run_peridotctl(
         'explain', '--logs', str(tmp_path), '--json', 'gone'
     )
-    explanation: dict[str, Any] = json.loads(result.stdout)
-    assert 'its answer was lost' in explanation['cause']
-    assert [one['event'] for one in explanation['steps']] == [
+    explained: dict[str, Any] = json.loads(result.stdout)
+    assert 'its answer was lost' in explained['cause']
+    assert [one['event'] for one in explained['steps']] == [
         'lost',
         'unknown',
     ]
-    assert explanation['steps'][0]['target'] == 'a'
+    assert explained['steps'][0]['target'] == 'a'
     assert any(
         one['event'] == 'target' and one['host'] == 'a'
-        for one in explanation['around']
+        for one in explained['around']
     )
 
 
@@ -141,8 +141,8 @@
 )
 def test_each_outcome_is_described(event: str, detail: str, text: str) -> None:
     line = loglines.LogLine(5.0, 'a', event, request='r', detail=detail)
-    explanation = story.tell(loglines.Logs([line], 0), 'r')
-    assert text in explanation.cause
+    explained = story.tell(loglines.Logs([line], 0), 'r')
+    assert text in explained.cause
 
 
 def test_state_changes_long_before_or_elsewhere_are_omitted() -> None:
@@ -160,5 +160,5 @@
         outcome,
         state_change(99.5, 'd'),
     ]
-    explanation = story.tell(loglines.Logs(lines, 0), 'r')
-    assert explanation.around == [of_peer, near]
+    explained = story.tell(loglines.Logs(lines, 0), 'r')
+    assert explained.around == [of_peer, near]
--- a/testing/zones.py
+++ b/testing/zones.py
@@ -24,7 +24,7 @@
 from peridotpost.kernel import counters
 from peridotpost.kernel import registry
 from peridotpost.kernel import timers
-from peridotpost.membership import myself as own
+from peridotpost.membership import myself
 from peridotpost.model import errors
 from peridotpost.standins import platform as platform_standin
 from peridotpost.store import etcd
@@ -102,11 +102,11 @@
 
         @contextlib.asynccontextmanager
         async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
-            ups = kernel.find('uplinks', uplinks.Uplinks)
+            uplink_set = kernel.find('uplinks', uplinks.Uplinks)
             reconciler = kernel.find('reconciler', reconcile.Reconciler)
-            ups.dial = self.dial_from(zone, self.stream_partitions)
+            uplink_set.dial = self.dial_from(zone, self.stream_partitions)
             reconciler.dial = self.dial_from(zone, self.partitions)
-            record = kernel.find('myself', own.Myself).record
+            record = kernel.find('myself', myself.Myself).record
             self.zone_by_address[record.control_address] = zone
             yield
 
@@ -206,7 +206,7 @@
 
     def address(self, host: str) -> str:
         kernel = self.daemons[host].kernel
-        return kernel.find('myself', own.Myself).record.control_address
+        return kernel.find('myself', myself.Myself).record.control_address
 
     def has_in_force(self, host: str, revision: int) -> bool:
         return self.revision(host) >= revision
