--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -93,7 +93,7 @@
 
 
 async def _read_initial_state(kernel: registry.Kernel) -> None:
-    """Adopt the highest version stored_seeds in the store and on several peers.
+    """Adopt the highest version found in the store and on several peers.
 
     A daemon that restarts during an outage of the store would otherwise
     serve nothing, or the outdated version of a single peer.
