--- a/src/peridotpost/standins/__init__.py
+++ b/src/peridotpost/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what is others': the platform and the targets."""
+"""Stand-ins for external systems: the platform's store and the targets."""
--- a/src/peridotpost/standins/keyvalue.py
+++ b/src/peridotpost/standins/keyvalue.py
@@ -1,18 +1,22 @@
-"""The state of the stand-in key-value service: plain rules, no network."""
+"""In-memory state of the stand-in key-value service, without networking."""
 
 import asyncio
 from collections.abc import Callable
 import dataclasses
 
 MAX_VALUE_BYTES = 1_048_576
-EVENTS_KEPT = 10_000
+MAX_CHANGES = 10_000
 NO_END = b'\0'
-"""A range's end that stands for "to the last key"."""
+"""End of a range that extends to the last key."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """A stored value with the revisions of its first and last write."""
+    """A stored value with the revisions of its creation and last write.
+
+    :param version: number of writes since the creation.
+    :param lease: ID of the lease it is attached to, or 0.
+    """
 
     key: bytes
     value: bytes
@@ -24,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A write or, with `deleted`, a removal."""
+    """A write or, with `deleted`, a deletion."""
 
     entry: Entry
     deleted: bool
@@ -32,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Lease:
-    """A lease and the moment at which it lapses."""
+    """A lease and the time at which it expires."""
 
     lease_id: int
     ttl_s: int
@@ -40,15 +44,15 @@
 
 
 class ValueTooLarge(ValueError):
-    """A value is over a megabyte."""
+    """A value is larger than ``MAX_VALUE_BYTES``."""
 
 
 class NoSuchLease(KeyError):
-    """The lease lapsed or never was."""
+    """The lease has expired, or was never granted."""
 
 
 class KeyValueState:
-    """Keys, leases and the log of changes, at one revision."""
+    """Keys, leases, the change log and the current revision."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
@@ -61,60 +65,62 @@
 
     def range(self, key: bytes, end: bytes) -> list[Entry]:
         if not end:
-            found = self.entries.get(key)
-            return [] if found is None else [found]
+            entry = self.entries.get(key)
+            return [] if entry is None else [entry]
         return [
-            self.entries[one]
-            for one in sorted(self.entries)
-            if _within(one, key, end)
+            self.entries[stored_key]
+            for stored_key in sorted(self.entries)
+            if _in_range(stored_key, key, end)
         ]
 
     def check_put(self, value: bytes, lease: int) -> None:
-        """Say whether a put would be taken.
+        """Validate a put without applying it.
 
-        :raises ValueTooLarge: the value is over a megabyte.
-        :raises NoSuchLease: the lease lapsed or never was.
+        :raises ValueTooLarge: the value exceeds ``MAX_VALUE_BYTES``.
+        :raises LeaseNotFound: the lease has expired, or was never granted.
         """
         if len(value) > MAX_VALUE_BYTES:
             raise ValueTooLarge(f'value of {len(value)} bytes')
         if lease and lease not in self.leases:
             raise NoSuchLease(lease)
 
-    def put(self, key: bytes, value: bytes, lease: int, at: int) -> None:
+    def put(self, key: bytes, value: bytes, lease: int, revision: int) -> None:
         self.check_put(value, lease)
         old = self.entries.get(key)
         entry = Entry(
             key=key,
             value=value,
-            created=old.created if old else at,
-            modified=at,
+            created=old.created if old else revision,
+            modified=revision,
             version=old.version + 1 if old else 1,
             lease=lease,
         )
         self.entries[key] = entry
-        self.log(Change(entry, deleted=False))
+        self._append_change(Change(entry, deleted=False))
 
-    def delete(self, key: bytes, at: int) -> None:
+    def delete(self, key: bytes, revision: int) -> None:
         old = self.entries.pop(key, None)
         if old is not None:
-            gone = dataclasses.replace(old, modified=at, value=b'')
-            self.log(Change(gone, deleted=True))
+            tombstone = dataclasses.replace(old, modified=revision, value=b'')
+            self._append_change(Change(tombstone, deleted=True))
 
-    def log(self, change: Change) -> None:
+    def _append_change(self, change: Change) -> None:
         self.changes.append(change)
-        if len(self.changes) > EVENTS_KEPT:
-            dropped = self.changes[-EVENTS_KEPT - 1]
-            del self.changes[:-EVENTS_KEPT]
-            self.compacted = dropped.entry.modified + 1
+        if len(self.changes) > MAX_CHANGES:
+            last_dropped = self.changes[-MAX_CHANGES - 1]
+            del self.changes[:-MAX_CHANGES]
+            self.compacted = last_dropped.entry.modified + 1
         self.revision = max(self.revision, change.entry.modified)
         self.changed.set()
         self.changed = asyncio.Event()
 
     def compact(self, revision: int) -> None:
-        """Drop the changes before `revision`."""
+        """Discard the changes before `revision`."""
         self.compacted = max(self.compacted, revision)
         self.changes = [
-            one for one in self.changes if one.entry.modified >= revision
+            change
+            for change in self.changes
+            if change.entry.modified >= revision
         ]
 
     def changes_from(
@@ -124,7 +130,7 @@
             change
             for change in self.changes
             if change.entry.modified >= revision
-            and _within(change.entry.key, key, end)
+            and _in_range(change.entry.key, key, end)
         ]
 
     def grant(self, ttl_s: int, lease_id: int) -> Lease:
@@ -133,7 +139,7 @@
         return lease
 
     def keep_alive(self, lease_id: int) -> int:
-        """Renew and return the TTL; 0 when the lease has lapsed."""
+        """Renew a lease and return its TTL; 0 if the lease has expired."""
         self.expire()
         lease = self.leases.get(lease_id)
         if lease is None:
@@ -142,25 +148,25 @@
         return lease.ttl_s
 
     def revoke(self, lease_id: int) -> None:
-        """End a lease and what hangs on it.
+        """Revoke a lease and delete the keys attached to it.
 
-        :raises NoSuchLease: the lease lapsed or never was.
+        :raises LeaseNotFound: the lease has expired, or was never granted.
         """
         if self.leases.pop(lease_id, None) is None:
             raise NoSuchLease(lease_id)
-        at = self.revision + 1
+        revision = self.revision + 1
         for entry in list(self.entries.values()):
             if entry.lease == lease_id:
-                self.delete(entry.key, at)
+                self.delete(entry.key, revision)
 
     def expire(self) -> None:
-        """Drop lapsed leases and what hangs on them."""
+        """Revoke expired leases and delete the keys attached to them."""
         for lease in list(self.leases.values()):
             if lease.expires_at <= self.now():
                 self.revoke(lease.lease_id)
 
 
-def _within(candidate: bytes, key: bytes, end: bytes) -> bool:
+def _in_range(candidate: bytes, key: bytes, end: bytes) -> bool:
     if not end:
         return candidate == key
     return key <= candidate and (end == NO_END or candidate < end)
--- a/src/peridotpost/standins/mesh.py
+++ b/src/peridotpost/standins/mesh.py
@@ -1,4 +1,4 @@
-"""Plans one mesh on this machine's loopback, for first runs and tests."""
+"""Plans a mesh on the loopback interface, for demos and tests."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -17,10 +17,11 @@
 
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
-"""Below the range from which the machine takes ports for connections, so
-that a planned port is not taken by one in the meantime."""
+"""Below the ephemeral port range, so that no outgoing connection takes a
+planned port before its daemon starts."""
 START_SPREAD_S = 0.2
-"""A mesh on one machine is no herd; waiting would only slow first runs."""
+"""Short: a mesh on one machine is too small for a thundering herd, and a
+long random delay would only slow its start."""
 BLOCK_PORTS = 200
 PORT_NAMES = (
     'caller_port',
@@ -34,7 +35,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedHost:
-    """A host of the plan: its daemon and the service of its target."""
+    """A planned host: its daemon, and the service of its target.
+
+    :param settings: path of the daemon's settings file.
+    """
 
     host: str
     availability_zone: str
@@ -53,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MeshPlan:
-    """A whole mesh: its platform's port and its hosts."""
+    """A planned mesh: the port of its store and its hosts."""
 
     mesh: str
     platform_port: int
@@ -67,27 +71,27 @@
 def free_ports(randomness: random.Random) -> Iterator[int]:
     """Yield ports on which nothing listens, each once.
 
-    :raises RuntimeError: every block of ports is held by another process.
+    :raises RuntimeError: every block of ports is locked by another process.
     """
     blocks = list(range(FIRST_PORT, LAST_PORT, BLOCK_PORTS))
     randomness.shuffle(blocks)
     for first in blocks:
-        if _claim(first):
+        if _lock_block(first):
             yield from filter(_is_free, range(first, first + BLOCK_PORTS))
     raise RuntimeError(
-        f'no block of {BLOCK_PORTS} ports is left; end other meshes'
+        f'no free block of {BLOCK_PORTS} ports; stop other meshes'
     )
 
 
-def _claim(block: int) -> bool:
-    """Hold a block of ports for as long as this process lives.
+def _lock_block(block: int) -> bool:
+    """Lock a block of ports until this process ends.
 
     Two processes that plan at the same time would find the same port free,
-    and the daemon that starts later would find it taken: seen as "Address
-    already in use" in tests that ran beside others.
+    and the daemon that starts later would fail with "Address already in
+    use", as tests that ran in parallel did.
     """
-    if block in _claimed:
-        return _claimed[block] is not None
+    if block in _block_locks:
+        return _block_locks[block] is not None
     directory = pathlib.Path(tempfile.gettempdir()) / 'peridotpost-ports'
     directory.mkdir(exist_ok=True)
     lock = open(directory / str(block), 'w')
@@ -95,13 +99,13 @@
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         lock.close()
-        _claimed[block] = None
+        _block_locks[block] = None
         return False
-    _claimed[block] = lock
+    _block_locks[block] = lock
     return True
 
 
-_claimed: dict[int, IO[str] | None] = {}
+_block_locks: dict[int, IO[str] | None] = {}
 
 
 def _is_free(port: int) -> bool:
@@ -124,11 +128,11 @@
 ) -> MeshPlan:
     """Plan the mesh of `text` and write its settings into `directory`.
 
-    Each host runs one target; services take turns over the hosts of all
-    zones, so that each zone has targets of each service when it has as
-    many hosts as there are services.
+    Each host runs one target.  Services are assigned in turn over the hosts
+    of all zones, so that each zone has targets of each service if it has at
+    least as many hosts as there are services.
 
-    :param settings: added to each daemon's settings.
+    :param settings: merged into the settings of each daemon.
     """
     mesh = text_border.read_text(text, 'planned text')
     ports = free_ports(randomness)
@@ -158,7 +162,7 @@
     settings: dict[str, Any],
 ) -> None:
     timing = {'start_spread_s': START_SPREAD_S, **settings.get('timing', {})}
-    plain = {
+    document = {
         'host': planned.host,
         'availability_zone': planned.availability_zone,
         'mesh': mesh,
@@ -167,14 +171,14 @@
         **settings,
         'timing': timing,
     }
-    pathlib.Path(planned.settings).write_text(json.dumps(plain, indent=2))
+    pathlib.Path(planned.settings).write_text(json.dumps(document, indent=2))
 
 
 def load_plan(path: pathlib.Path) -> MeshPlan:
     """Read a plan that :func:`plan_mesh` wrote."""
-    plain = json.loads(path.read_text())
+    document = json.loads(path.read_text())
     return MeshPlan(
-        plain['mesh'],
-        plain['platform_port'],
-        tuple(PlannedHost(**one) for one in plain['hosts']),
+        document['mesh'],
+        document['platform_port'],
+        tuple(PlannedHost(**host_fields) for host_fields in document['hosts']),
     )
--- a/src/peridotpost/standins/platform.py
+++ b/src/peridotpost/standins/platform.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's key-value service.
 
-Speaks the part of etcd's v3 JSON gateway that the system uses, counts each
-call, keeps quotas and has commands for outage, slowness, garbage and
-answers that are lost after the write took effect.
+Implements the part of etcd's v3 JSON gateway that the system uses, counts
+calls, enforces quotas, and injects faults on command: outage, slowness,
+invalid answers, and answers that are lost after the write took effect.
 """
 
 import asyncio
@@ -24,8 +24,8 @@
 
 from peridotpost.standins import keyvalue
 
-EXPIRY_PERIOD_S = 0.2
-WRITES = frozenset(
+EXPIRY_CHECK_INTERVAL_S = 0.2
+WRITE_METHODS = frozenset(
     {'kv/txn', 'lease/grant', 'lease/keepalive', 'lease/revoke'}
 )
 
@@ -35,12 +35,13 @@
 
 
 class Faults(pydantic.BaseModel):
-    """What goes wrong until the next command.
+    """Faults to inject until the next command.
 
-    :param outage: no call is answered: connections are cut.
-    :param delay_s: seconds that each call waits.
-    :param lose_answers: that many writes take effect unanswered.
-    :param garbage: answers are not the protocol's.
+    :param outage: calls are not answered, and connections are closed.
+    :param delay_s: delay of each call.
+    :param lose_answers: number of writes that take effect but are not
+        answered.
+    :param garbage: answers are not valid in the protocol.
     """
 
     model_config = pydantic.ConfigDict(extra='forbid')
@@ -52,7 +53,7 @@
 
 
 class Quota:
-    """Calls allowed within each second; 0 for no bound."""
+    """Limits the calls in each second; 0 for no limit."""
 
     def __init__(self, per_second: int) -> None:
         self.per_second = per_second
@@ -67,7 +68,7 @@
 
 
 class Platform:
-    """State, faults and counts of one stand-in."""
+    """State, injected faults and counts of one stand-in."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
     ) -> None:
         self.state = keyvalue.KeyValueState(now)
         self.faults = Faults()
-        self.fault_set = asyncio.Event()
+        self.faults_changed = asyncio.Event()
         self.counts: collections.Counter[str] = collections.Counter()
         self.writes = Quota(writes_per_s)
         self.reads = Quota(reads_per_s)
@@ -85,17 +86,17 @@
 
     def set_faults(self, faults: Faults) -> None:
         self.faults = faults
-        self.fault_set.set()
-        self.fault_set = asyncio.Event()
+        self.faults_changed.set()
+        self.faults_changed = asyncio.Event()
 
     def within_quota(self, method: str) -> bool:
-        quota = self.writes if method in WRITES else self.reads
+        quota = self.writes if method in WRITE_METHODS else self.reads
         return quota.take(time.monotonic())
 
     def answer(self, method: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Carry out a call that has one answer.
+        """Execute a call other than a watch.
 
-        :raises web.HTTPError: there is no such method.
+        :raises web.HTTPError: the method is unknown.
         """
         self.state.expire()
         handler = {
@@ -113,10 +114,10 @@
         return {'revision': str(self.state.revision)}
 
     def _range(self, body: dict[str, Any]) -> dict[str, Any]:
-        found = self.state.range(
+        entries = self.state.range(
             _bytes(body['key']), _bytes(body.get('range_end', ''))
         )
-        kvs = [_plain(entry) for entry in found]
+        kvs = [_entry_to_json(entry) for entry in entries]
         return {
             'header': self.header(),
             'kvs': kvs,
@@ -124,40 +125,49 @@
         }
 
     def _transaction(self, body: dict[str, Any]) -> dict[str, Any]:
-        holds = all(self._compare(one) for one in body.get('compare', []))
-        steps = body.get('success' if holds else 'failure', [])
+        condition_holds = all(
+            self._compare(condition) for condition in body.get('compare', [])
+        )
+        operations = body.get('success' if condition_holds else 'failure', [])
         for put in (
-            one['request_put'] for one in steps if 'request_put' in one
+            planned['request_put']
+            for planned in operations
+            if 'request_put' in planned
         ):
-            # All or nothing: a refused put must leave no earlier one behind.
+            # Atomic: a refused put must leave no earlier put applied.
             self.state.check_put(
                 _bytes(put.get('value', '')), int(put.get('lease', 0))
             )
-        at = self.state.revision + 1
-        responses = [self._step(step, at) for step in steps]
+        revision = self.state.revision + 1
+        responses = [
+            self._apply_operation(operation, revision)
+            for operation in operations
+        ]
         return {
             'header': self.header(),
-            'succeeded': holds,
+            'succeeded': condition_holds,
             'responses': responses,
         }
 
-    def _compare(self, one: dict[str, Any]) -> bool:
-        entry = self.state.entries.get(_bytes(one['key']))
+    def _compare(self, condition: dict[str, Any]) -> bool:
+        entry = self.state.entries.get(_bytes(condition['key']))
         modified = entry.modified if entry else 0
-        return modified == int(one.get('mod_revision', 0))
+        return modified == int(condition.get('mod_revision', 0))
 
-    def _step(self, step: dict[str, Any], at: int) -> dict[str, Any]:
-        if 'request_put' in step:
-            put = step['request_put']
+    def _apply_operation(
+        self, operation: dict[str, Any], revision: int
+    ) -> dict[str, Any]:
+        if 'request_put' in operation:
+            put = operation['request_put']
             value = _bytes(put.get('value', ''))
             lease = int(put.get('lease', 0))
-            self.state.put(_bytes(put['key']), value, lease, at)
+            self.state.put(_bytes(put['key']), value, lease, revision)
             return {'response_put': {'header': self.header()}}
-        if 'request_delete_range' in step:
-            key = _bytes(step['request_delete_range']['key'])
-            self.state.delete(key, at)
+        if 'request_delete_range' in operation:
+            key = _bytes(operation['request_delete_range']['key'])
+            self.state.delete(key, revision)
             return {'response_delete_range': {'header': self.header()}}
-        return {'response_range': self._range(step['request_range'])}
+        return {'response_range': self._range(operation['request_range'])}
 
     def _grant(self, body: dict[str, Any]) -> dict[str, Any]:
         lease = self.state.grant(int(body['TTL']), next(self.lease_ids))
@@ -190,7 +200,7 @@
         if not platform.within_quota(method):
             platform.counts['over-quota'] += 1
             raise web.HTTPError(429, reason='over the quota')
-        await self._suffer_before()
+        await self._inject_fault_before()
         try:
             body = json.loads(self.request.body)
             if method == 'watch':
@@ -203,26 +213,26 @@
             raise web.HTTPError(404, reason='lease not found') from error
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise web.HTTPError(400, reason='malformed') from error
-        self._suffer_after(method)
+        self._inject_lost_answer(method)
         self.finish(answer)
 
-    async def _suffer_before(self) -> None:
+    async def _inject_fault_before(self) -> None:
         faults = self.platform.faults
         if faults.outage:
-            self._cut()
+            self._drop_connection()
         if faults.delay_s:
             await asyncio.sleep(faults.delay_s)
         if self.platform.faults.outage:
-            self._cut()
+            self._drop_connection()
         if faults.garbage:
             raise web.Finish(b'<html>not what you expect')
 
-    def _suffer_after(self, method: str) -> None:
-        if method in WRITES and self.platform.faults.lose_answers > 0:
+    def _inject_lost_answer(self, method: str) -> None:
+        if method in WRITE_METHODS and self.platform.faults.lose_answers > 0:
             self.platform.faults.lose_answers -= 1
-            self._cut()
+            self._drop_connection()
 
-    def _cut(self) -> None:
+    def _drop_connection(self) -> None:
         self.detach().close()
         raise web.Finish()
 
@@ -248,18 +258,18 @@
             if revision < state.compacted:
                 self._cancel_watch(state.compacted)
                 return
-            found = state.changes_from(key, end, revision)
+            changes = state.changes_from(key, end, revision)
             revision = max(revision, state.revision + 1)
-            if found:
-                events = [_event(change) for change in found]
+            if changes:
+                events = [_event_to_json(change) for change in changes]
                 self._write_line(
                     {'header': self.platform.header(), 'events': events}
                 )
             await self.flush()
             changed = state.changed
-            await self._wait(changed)
+            await self._wait_for_change(changed)
             if self.platform.faults.outage:
-                self._cut()
+                self._drop_connection()
 
     def _cancel_watch(self, compacted: int) -> None:
         self._write_line(
@@ -270,42 +280,42 @@
             }
         )
 
-    async def _wait(self, changed: asyncio.Event) -> None:
+    async def _wait_for_change(self, changed: asyncio.Event) -> None:
         waits = [
             asyncio.ensure_future(changed.wait()),
-            asyncio.ensure_future(self.platform.fault_set.wait()),
-            asyncio.ensure_future(self._gone().wait()),
+            asyncio.ensure_future(self.platform.faults_changed.wait()),
+            asyncio.ensure_future(self._close_event().wait()),
         ]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
-        if self._gone().is_set():
+        for waiter in waits:
+            waiter.cancel()
+        if self._close_event().is_set():
             raise iostream.StreamClosedError
 
-    def _gone(self) -> asyncio.Event:
+    def _close_event(self) -> asyncio.Event:
         if not hasattr(self, 'gone_event'):
             self.gone_event = asyncio.Event()
         return self.gone_event
 
     def on_connection_close(self) -> None:
-        self._gone().set()
+        self._close_event().set()
 
     def _write_line(self, message: dict[str, Any]) -> None:
         self.write(json.dumps({'result': message}) + '\n')
 
 
 class ControlHandler(web.RequestHandler):
-    """Commands for tests: read counts, set faults."""
+    """Control interface for tests: read counts, set faults."""
 
     platform: Platform
 
     def initialize(self, platform: Platform) -> None:
         self.platform = platform
 
-    def get(self, what: str) -> None:
+    def get(self, page: str) -> None:
         self.finish(dict(self.platform.counts))
 
-    def put(self, what: str) -> None:
+    def put(self, page: str) -> None:
         try:
             faults = Faults.model_validate_json(self.request.body)
         except pydantic.ValidationError as error:
@@ -318,7 +328,7 @@
     return base64.b64decode(encoded, validate=True)
 
 
-def _plain(entry: keyvalue.Entry) -> dict[str, str]:
+def _entry_to_json(entry: keyvalue.Entry) -> dict[str, str]:
     return {
         'key': base64.b64encode(entry.key).decode(),
         'value': base64.b64encode(entry.value).decode(),
@@ -329,8 +339,8 @@
     }
 
 
-def _event(change: keyvalue.Change) -> dict[str, Any]:
-    event: dict[str, Any] = {'kv': _plain(change.entry)}
+def _event_to_json(change: keyvalue.Change) -> dict[str, Any]:
+    event: dict[str, Any] = {'kv': _entry_to_json(change.entry)}
     if change.deleted:
         event['type'] = 'DELETE'
     return event
@@ -340,7 +350,7 @@
 async def serving(
     platform: Platform, address: str, port: int
 ) -> AsyncIterator[int]:
-    """Serve `platform` and yield the port in use."""
+    """Serve `platform` and yield the bound port."""
     handlers = [
         (r'/v3/(.+)', CallHandler, {'platform': platform}),
         (r'/control/(counts|faults)', ControlHandler, {'platform': platform}),
@@ -359,5 +369,5 @@
 
 async def _expire(platform: Platform) -> None:
     while True:
-        await asyncio.sleep(EXPIRY_PERIOD_S)
+        await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
         platform.state.expire()
--- a/src/peridotpost/standins/target.py
+++ b/src/peridotpost/standins/target.py
@@ -1,9 +1,10 @@
-"""Stand-in for a target: what others run on a host beside the daemon.
+"""Stand-in for a target, the server process on a host beside the daemon.
 
-It has slots, a bound on connections, a cold start, drain, shedding,
-deadlines and cancellation; its health and load pages can lie; a request
-with the header ``Standin-Crash`` ends it; and it counts what it ran for
-each idempotency key, so that a test can see a call that ran twice.
+It has slots, an announced connection limit, a cold start, drain, shedding,
+deadlines and cancellation.  Its health page always reports healthy, and its
+load page can report false values.  A request with the header
+``Standin-Crash`` ends the process.  Runs are counted for each idempotency
+key, so that a test can detect a call that ran twice.
 """
 
 import asyncio
@@ -28,7 +29,11 @@
 
 
 class TargetSettings(pydantic.BaseModel):
-    """How the target behaves; times in seconds."""
+    """Behaviour of the target; times in seconds.
+
+    :param cold_factor: factor on run times during the cold start.
+    :param health_lies: whether the load page reports no running requests.
+    """
 
     model_config = pydantic.ConfigDict(extra='forbid')
 
@@ -45,13 +50,16 @@
 
 
 class Target:
-    """One target's state and counts."""
+    """State and counts of one target.
+
+    :ivar ran: number of runs by idempotency key.
+    """
 
     def __init__(self, settings: TargetSettings) -> None:
         self.settings = settings
         self.started_at = time.monotonic()
         self.draining = False
-        self.refusing = False
+        self.rejecting = False
         self.running = 0
         self.connections = 0
         self.stopped = asyncio.Event()
@@ -69,13 +77,17 @@
             return 'draining'
         return 'cold' if self.cold else 'ready'
 
-    def work_s(self, asked_ms: str) -> float:
-        base = float(asked_ms) / 1000 if asked_ms else self.settings.work_s
+    def work_s(self, requested_ms: str) -> float:
+        base = (
+            float(requested_ms) / 1000
+            if requested_ms
+            else self.settings.work_s
+        )
         return base * (self.settings.cold_factor if self.cold else 1.0)
 
 
 class WorkHandler(web.RequestHandler):
-    """Any request: waits as long as asked, then echoes."""
+    """Handles any request: works as long as requested, then echoes it."""
 
     target: Target
     work: asyncio.Task[None] | None = None
@@ -89,7 +101,7 @@
 
     async def serve(self, path: str) -> None:
         target = self.target
-        if target.refusing or target.running >= target.settings.slots:
+        if target.rejecting or target.running >= target.settings.slots:
             target.counts['shed'] += 1
             self.set_header('Retry-After', '1')
             self.set_status(503)
@@ -122,10 +134,12 @@
         target.counts['ran'] += 1
         if key:
             target.ran[key] += 1
-        asked = int(self.request.headers.get('Standin-Answer-Bytes', '0'))
+        answer_bytes = int(
+            self.request.headers.get('Standin-Answer-Bytes', '0')
+        )
         self.set_header('Standin-Target', target.settings.name)
-        if asked:
-            self.finish(b'x' * asked)
+        if answer_bytes:
+            self.finish(b'x' * answer_bytes)
             return
         self.finish(
             {
@@ -145,20 +159,20 @@
 
 
 class ControlHandler(web.RequestHandler):
-    """Health and load, which may lie, and commands for tests."""
+    """Health and load pages, counts, and the command to drain."""
 
     target: Target
 
     def initialize(self, target: Target) -> None:
         self.target = target
 
-    def get(self, what: str) -> None:
+    def get(self, page: str) -> None:
         target = self.target
-        if what == 'health':
+        if page == 'health':
             self.finish({'healthy': True, 'state': target.state})
-        elif what == 'load':
-            lies = target.settings.health_lies
-            self.finish({'running': 0 if lies else target.running})
+        elif page == 'load':
+            underreport = target.settings.health_lies
+            self.finish({'running': 0 if underreport else target.running})
         else:
             self.finish(
                 {
@@ -168,13 +182,13 @@
                 }
             )
 
-    async def put(self, what: str) -> None:
+    async def put(self, page: str) -> None:
         await drain(self.target)
         self.finish({})
 
 
 async def announce(target: Target, client: httpclient.AsyncHTTPClient) -> None:
-    """Tell the host's daemon of the target; a failure is tried again."""
+    """Announce the target to the daemon; the next heartbeat retries."""
     settings = target.settings
     if not settings.daemon_admin:
         return
@@ -197,19 +211,19 @@
 
 
 async def drain(target: Target) -> None:
-    """Announce that the target leaves, then refuse what still comes.
+    """Announce that the target is draining, then reject requests.
 
-    Requests that were on their way when the daemon heard of it are run.
+    Requests that were in flight when the daemon was notified are still run.
     """
     target.draining = True
     await announce(target, httpclient.AsyncHTTPClient())
     await asyncio.sleep(DRAIN_GRACE_S)
-    target.refusing = True
+    target.rejecting = True
 
 
 @contextlib.asynccontextmanager
 async def serving(target: Target) -> AsyncIterator[int]:
-    """Serve `target`, announce it and yield the port in use."""
+    """Serve `target`, announce it and yield the bound port."""
     arguments: dict[str, Any] = {'target': target}
     handlers = [
         (r'/standin/(health|load|counts|drain)', ControlHandler, arguments),
