--- a/src/peridotpost/cli/experiment.py
+++ b/src/peridotpost/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``peridot-experiment``: play load against the decisions, in a model."""
+"""``peridot-experiment``: simulate a fleet with the production decisions."""
 
 import dataclasses
 import json
@@ -24,14 +24,14 @@
     multiple=True,
     default=(1,),
     show_default=True,
-    help='Of load and luck; may be repeated.',
+    help='Seed of the random numbers; may be repeated.',
 )
 json_option = click.option('--json', 'as_json', is_flag=True)
 plot_option = click.option(
     '--plot',
     'picture',
     type=click.Path(path_type=pathlib.Path),
-    help='Write a picture, .png or .svg.',
+    help='Write a plot to this file, .png or .svg.',
 )
 
 
@@ -40,7 +40,7 @@
     'examples/experiments/double-load.json as-built far-sooner --seed 3'
 )
 def main() -> None:
-    """Run the modules of decisions in a model of a fleet."""
+    """Run the decision modules in a simulated fleet."""
 
 
 @main.command(
@@ -59,8 +59,8 @@
     as_json: bool,
     picture: pathlib.Path | None,
 ) -> None:
-    """Play a scenario with one policy."""
-    _show(file, (policy,), seeds, as_json, picture)
+    """Simulate a scenario with one policy."""
+    _run_and_print(file, (policy,), seeds, as_json, picture)
 
 
 @main.command(
@@ -79,8 +79,8 @@
     as_json: bool,
     picture: pathlib.Path | None,
 ) -> None:
-    """Play a scenario with several policies, each on the same seeds."""
-    _show(file, names, seeds, as_json, picture)
+    """Simulate a scenario with several policies, on the same seeds."""
+    _run_and_print(file, names, seeds, as_json, picture)
 
 
 @main.command(
@@ -91,44 +91,51 @@
 @seeds_option
 @json_option
 def bound(file: pathlib.Path, seeds: tuple[int, ...], as_json: bool) -> None:
-    """Tell the most that any policy could earn, and what is earned."""
+    """Print the upper bound on any policy's credit, and the credit earned."""
     try:
         scenario = scenarios.load(file)
     except errors.PeridotError as error:
         raise click.ClickException(str(error)) from error
-    found = bounds.intervals(scenario)
-    played = [
-        _play(scenario, policies.AS_BUILT, seed).credit_share for seed in seeds
+    intervals = bounds.intervals(scenario)
+    credit_shares = [
+        _run_policy(scenario, policies.AS_BUILT, seed).credit_share
+        for seed in seeds
     ]
-    earned = sum(played) / len(played)
+    earned = sum(credit_shares) / len(credit_shares)
     if as_json:
-        shown = [dataclasses.asdict(one) for one in found]
-        click.echo(json.dumps({'intervals': shown, 'earned': earned}))
+        interval_dicts = [
+            dataclasses.asdict(interval) for interval in intervals
+        ]
+        click.echo(json.dumps({'intervals': interval_dicts, 'earned': earned}))
     else:
-        click.echo(_bound_table(found, earned))
+        click.echo(_format_bounds(intervals, earned))
 
 
-def _bound_table(found: list[bounds.Interval], earned: float) -> str:
-    lines = [f'{"from s":>7} {"to s":>6} {"bound":>6}  served; what binds']
-    for one in found:
+def _format_bounds(intervals: list[bounds.Interval], earned: float) -> str:
+    lines = [
+        f'{"from s":>7} {"to s":>6} {"bound":>6}  served; limiting services'
+    ]
+    for interval in intervals:
         served = ', '.join(
-            f'{route} {share:.2f}' for route, share in one.served.items()
+            f'{route} {share:.2f}' for route, share in interval.served.items()
         )
-        binds = ', '.join(
+        limiting = ', '.join(
             f'{service} ({worth:.1f} a slot)'
-            for service, worth in one.worth_of_slot.items()
+            for service, worth in interval.worth_of_slot.items()
         )
         lines.append(
-            f'{one.start_s:>7.1f} {one.end_s:>6.1f} {one.share:>6.3f}  '
-            f'{served}; {binds or "nothing"}'
+            f'{interval.start_s:>7.1f} {interval.end_s:>6.1f} '
+            f'{interval.share:>6.3f}  '
+            f'{served}; {limiting or "nothing"}'
         )
     lines.append(
-        f'bound {bounds.credit_share(found):.3f}, earned as built {earned:.3f}'
+        f'bound {bounds.credit_share(intervals):.3f}, '
+        f'earned as built {earned:.3f}'
     )
     return '\n'.join(lines)
 
 
-def _show(
+def _run_and_print(
     file: pathlib.Path,
     names: tuple[str, ...],
     seeds: tuple[int, ...],
@@ -137,26 +144,28 @@
 ) -> None:
     try:
         scenario = scenarios.load(file)
-        found = [
-            _play(scenario, name, seed) for name in names for seed in seeds
+        run_results = [
+            _run_policy(scenario, name, seed)
+            for name in names
+            for seed in seeds
         ]
     except errors.PeridotError as error:
         raise click.ClickException(str(error)) from error
     if picture is not None:
-        plot.draw(found, picture)
+        plot.draw(run_results, picture)
     if as_json:
-        click.echo(json.dumps([one.to_json() for one in found]))
+        click.echo(json.dumps([result.to_json() for result in run_results]))
     else:
-        click.echo(_table(found))
+        click.echo(_format_results(run_results))
 
 
-def _play(
+def _run_policy(
     scenario: scenarios.Scenario, name: str, seed: int
 ) -> results.Result:
     constants = scenario.policies.get(name)
     if constants is None and name != policies.AS_BUILT:
         known = ', '.join([policies.AS_BUILT, *scenario.policies])
-        raise scenarios.BadScenario(
+        raise scenarios.InvalidScenario(
             f'no policy {name!r}; the scenario has {known}',
             step='experiment.policy',
         )
@@ -164,27 +173,28 @@
         return simulation.play(scenario, seed, name)
 
 
-def _table(found: list[results.Result]) -> str:
-    head = (
+def _format_results(run_results: list[results.Result]) -> str:
+    header = (
         f'{"policy":<18} {"seed":>4} {"route":<16} {"asked":>6} {"credit":>7} '
         f'{"late":>6} {"refused":>7} {"failed":>6} {"p99 ms":>7} {"far KB":>8}'
     )
-    lines = [head]
-    for one in found:
-        for name, route in one.routes.items():
+    lines = [header]
+    for result in run_results:
+        for name, route in result.routes.items():
             lines.append(
-                f'{one.policy:<18} {one.seed:>4} {name:<16} '
+                f'{result.policy:<18} {result.seed:>4} {name:<16} '
                 f'{route.asked:>6} {route.credit_share:>7.3f} '
                 f'{route.late:>6} {route.refused:>7} {route.failed:>6} '
                 f'{route.latency.quantile(0.99) * 1000:>7.0f} '
                 f'{route.far_kilobytes:>8.0f}'
             )
-        worst = min(one.credit_by_zone.values(), default=0.0)
+        worst_zone_share = min(result.credit_by_zone.values(), default=0.0)
         lines.append(
-            f'{one.policy:<18} {one.seed:>4} {"all":<16} {"":>6} '
-            f'{one.credit_share:>7.3f}   worst zone {worst:.3f}, '
-            f'{one.hosts} hosts, {one.events} events, '
-            f'{one.far_kilobytes:.0f} KB to other zones'
+            f'{result.policy:<18} {result.seed:>4} {"all":<16} {"":>6} '
+            f'{result.credit_share:>7.3f}   '
+            f'worst zone {worst_zone_share:.3f}, '
+            f'{result.hosts} hosts, {result.events} events, '
+            f'{result.far_kilobytes:.0f} KB to other zones'
         )
     return '\n'.join(lines)
 
--- a/src/peridotpost/experiment/bound.py
+++ b/src/peridotpost/experiment/bound.py
@@ -1,15 +1,16 @@
-"""The most that any policy could earn in a scenario, as a linear program.
-
-Slots are a fluid here: a request that is served takes its slot time at its
-own service and at each service that it calls; every service has so much of
-it a second.  What is served of each route is chosen for the most worth.
-Waiting, variance of runs, ways through the network and choices that turn
-out wrong are left out, so no policy earns more, and a good one comes near
-where arrivals are many.  What comes in the last moments is run after the
-end: a play of a few seconds can earn some hundredths more.
-
-What binds is told by the program's dual: what a slot more of a service
-would earn in a second.
+"""Upper bound on the credit of any policy, by a linear program.
+
+The program is a fluid relaxation: a served request uses slot time at its
+own service and at each service that it calls, and each service has a fixed
+amount of slot time per second.  The served rate of each route is chosen to
+maximise the total worth.  Queueing, variance of run times, network latency
+and wrong choices of targets are left out, so no policy earns more, and a
+good policy comes close when arrivals are frequent.  Requests that arrive
+last are run after the end of the scenario, so a simulation of a few seconds
+can exceed the bound by some hundredths.
+
+The dual values show which services limit the result: what one more slot of
+a service would earn per second.
 """
 
 import dataclasses
@@ -17,18 +18,18 @@
 from peridotpost.experiment import scenario as scenarios
 
 MS_IN_S = 1000.0
-LEAST_WORTH_OF_SLOT = 1e-9
+MIN_SLOT_WORTH = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Interval:
-    """A time in which load and targets stay the same.
+    """The bound for a period of constant load and target state.
 
-    :param owed: worth a second of all that is asked.
+    :param owed: worth per second of all requests.
     :param earned: the most of it that the slots can serve.
-    :param served: share of each route's requests that is served then.
-    :param worth_of_slot: worth a second of one slot more, by service; of
-        the services that bind only.
+    :param served: fraction of each route's requests served in the optimum.
+    :param worth_of_slot: worth per second of one additional slot, by
+        service; only services whose slots limit the result.
     """
 
     start_s: float
@@ -44,69 +45,80 @@
 
 
 def intervals(scenario: scenarios.Scenario) -> list[Interval]:
-    """Return the bound for each part of a scenario.
+    """Return the bound for each period of a scenario.
 
     :raises ImportError: scipy is not installed.
     """
     edges = {0.0, scenario.seconds}
     for phase in scenario.phases:
         edges |= {phase.start_s, phase.end_s}
-    times = sorted(one for one in edges if one <= scenario.seconds)
+    times = sorted(edge for edge in edges if edge <= scenario.seconds)
     return [
-        _solve(scenario, start_s, end_s)
+        _solve_interval(scenario, start_s, end_s)
         for start_s, end_s in zip(times, times[1:], strict=False)
     ]
 
 
-def credit_share(found: list[Interval]) -> float:
-    """Return the bound over all intervals, of what is owed."""
-    owed = sum(one.owed * (one.end_s - one.start_s) for one in found)
-    earned = sum(one.earned * (one.end_s - one.start_s) for one in found)
+def credit_share(periods: list[Interval]) -> float:
+    """Return the bound over all periods, as a fraction of the owed worth."""
+    owed = sum(
+        period.owed * (period.end_s - period.start_s) for period in periods
+    )
+    earned = sum(
+        period.earned * (period.end_s - period.start_s) for period in periods
+    )
     return earned / owed if owed else 1.0
 
 
-def _solve(
+def _solve_interval(
     scenario: scenarios.Scenario, start_s: float, end_s: float
 ) -> Interval:
     from scipy import optimize
 
     phases = [
-        one
-        for one in scenario.phases
-        if one.start_s < end_s and one.end_s > start_s
+        active_phase
+        for active_phase in scenario.phases
+        if active_phase.start_s < end_s and active_phase.end_s > start_s
     ]
     load = 1.0
     for phase in phases:
         load *= phase.load
-    asked = [one for one in scenario.routes if one.per_s]
-    rates = [one.per_s * load for one in asked]
+    entry_routes = [
+        entry_route for entry_route in scenario.routes if entry_route.per_s
+    ]
+    rates = [entry_route.per_s * load for entry_route in entry_routes]
     services = scenario.services
     slot_time = [
-        [_slot_time_s(scenario, route, service) for route in asked]
+        [_slot_time_s(scenario, route, service) for route in entry_routes]
         for service in services
     ]
-    room = [_slots(scenario, one, phases) for one in services]
-    found = optimize.linprog(
-        [-one.worth for one in asked],
+    capacity = [_slots(scenario, one, phases) for one in services]
+    solution = optimize.linprog(
+        [-entry_route.worth for entry_route in entry_routes],
         A_ub=slot_time,
-        b_ub=room,
+        b_ub=capacity,
         bounds=[(0.0, rate) for rate in rates],
     )
     owed = sum(
-        one.worth * rate for one, rate in zip(asked, rates, strict=True)
+        entry_route.worth * rate
+        for entry_route, rate in zip(entry_routes, rates, strict=True)
     )
-    gains = {
-        service.name: -float(gain)
-        for service, gain in zip(
-            services, found.ineqlin.marginals, strict=True
+    slot_worth = {
+        service.name: -float(marginal)
+        for service, marginal in zip(
+            services, solution.ineqlin.marginals, strict=True
         )
-        if -gain > LEAST_WORTH_OF_SLOT
+        if -marginal > MIN_SLOT_WORTH
     }
     served = {
-        one.name: float(part) / rate
-        for one, part, rate in zip(asked, found.x, rates, strict=True)
+        entry_route.name: float(part) / rate
+        for entry_route, part, rate in zip(
+            entry_routes, solution.x, rates, strict=True
+        )
     }
-    return Interval(start_s, end_s, owed, -float(found.fun), served, gains)
+    return Interval(
+        start_s, end_s, owed, -float(solution.fun), served, slot_worth
+    )
 
 
 def _slot_time_s(
@@ -114,7 +126,7 @@
     route: scenarios.Route,
     service: scenarios.Service,
 ) -> float:
-    """Return the slot time that one request of a route takes of a service.
+    """Return the slot time of a service that one request of a route uses.
 
     A run holds its slot until the slowest of its calls is answered.
     """
@@ -137,14 +149,14 @@
     service: scenarios.Service,
     phases: list[scenarios.Phase],
 ) -> float:
-    """Return slots of a service, each counted by its target's speed."""
+    """Return the slots of a service, each weighted by its target's speed."""
     count = service.count(scenario.zones)
     total = 0.0
     for index in range(count):
         speed = service.speeds[index % len(service.speeds)]
         for phase in phases:
-            ails = phase.ailing == service.name
-            if ails and index < phase.ailing_share * count:
+            is_degraded = phase.ailing == service.name
+            if is_degraded and index < phase.ailing_share * count:
                 speed *= phase.slower / max(1e-6, 1 - phase.sheds)
         total += service.slots / speed
     return total
--- a/src/peridotpost/experiment/clock.py
+++ b/src/peridotpost/experiment/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: events in order, nothing waits."""
+"""Simulated time: an event queue that runs without real waiting."""
 
 from collections.abc import Callable
 import heapq
@@ -6,16 +6,20 @@
 
 
 class SimulatedClock:
-    """Runs callbacks at simulated times, in seconds."""
+    """Runs callbacks at simulated times, in seconds.
+
+    Callbacks of the same time run in the order in which they were added;
+    `done` counts the callbacks that have run.
+    """
 
     def __init__(self) -> None:
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.sequence = itertools.count()
         self.done = 0
 
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
-        entry = (self.now + seconds, next(self.numbers), callback)
+        entry = (self.now + seconds, next(self.sequence), callback)
         heapq.heappush(self.events, entry)
 
     def run(self) -> None:
--- a/src/peridotpost/experiment/hosts.py
+++ b/src/peridotpost/experiment/hosts.py
@@ -1,4 +1,4 @@
-"""A simulated host: a target with its guard, and what its ingress knows."""
+"""A simulated host: a target, its guard, and the ingress's view of targets."""
 
 from collections.abc import Callable
 import dataclasses
@@ -14,20 +14,20 @@
 from peridotpost.experiment import scenario as scenarios
 from peridotpost.model import forwarding
 
-DONE = forwarding.TargetAnswer(200, b'OK', b'', b'')
+SUCCEEDED = forwarding.TargetAnswer(200, b'OK', b'', b'')
 FAILED = forwarding.TargetAnswer(500, b'Failed', b'', b'')
 SHED = forwarding.Refused(forwarding.Refusal.SHED, arrived=True)
 
 
-class World(Protocol):
-    """What hosts and ingresses share; see ``simulation.Fleet``."""
+class FleetContext(Protocol):
+    """State that hosts and ingresses share; see ``simulation.Fleet``."""
 
     scenario: scenarios.Scenario
     clock: clocks.SimulatedClock
-    dice: random.Random
-    work_dice: random.Random
+    rng: random.Random
+    work_rng: random.Random
     routes: dict[str, scenarios.Route]
-    found: dict[str, results.RouteResult]
+    route_results: dict[str, results.RouteResult]
     hosts: list['Host']
     by_service: dict[str, list['Host']]
 
@@ -37,26 +37,26 @@
         route: scenarios.Route,
         done: Callable[[bool], None],
     ) -> None:
-        """Make a call of a target; `done` is told whether it went well."""
+        """Make a call of a target; `done` receives whether it succeeded."""
 
     def work_s(self, host: 'Host', route: scenarios.Route) -> float:
-        """Draw the time of a run."""
+        """Return a random run time."""
 
     def ailing(self, host: 'Host') -> scenarios.Phase | None:
-        """Return the phase in which a host's target ails now, if any."""
+        """Return the current phase if it degrades the host's target."""
 
 
 class Host:
     """A target with its guard, and the ingress beside it."""
 
-    def __init__(self, fleet: 'World', number: int, zone: int) -> None:
+    def __init__(self, fleet: 'FleetContext', number: int, zone: int) -> None:
         self.name = f'z{zone}-{number}'
         self.zone = f'z{zone}'
         self.fleet = fleet
         self.service = ''
         self.speed = 1.0
-        self.queue = slots.SlotQueue(0, fleet.dice)
-        self.selector = selection.Selector(self.zone, fleet.dice)
+        self.queue = slots.SlotQueue(0, fleet.rng)
+        self.selector = selection.Selector(self.zone, fleet.rng)
         retries = fleet.scenario.retry_budget
         self.budget = budget.RetryBudget(
             retries.ratio, retries.extra, retries.window_s
@@ -64,24 +64,24 @@
         self.known: dict[str, targetstate.Candidate] = {}
 
     def candidates(self, service: str) -> list[targetstate.Candidate]:
-        """Return what this host's ingress knows of a service's targets."""
-        found = []
+        """Return a service's targets as this host's ingress knows them."""
+        service_targets = []
         for host in self.fleet.by_service[service]:
-            one = self.known.get(host.name)
-            if one is None:
-                one = targetstate.Candidate(
+            candidate = self.known.get(host.name)
+            if candidate is None:
+                candidate = targetstate.Candidate(
                     host.name,
                     host.zone,
                     service,
                     slots=host.queue.slots,
                     ready=True,
                 )
-                self.known[host.name] = one
-            found.append(one)
-        return found
+                self.known[host.name] = candidate
+            service_targets.append(candidate)
+        return service_targets
 
     def submit(self, order: forwarding.Order) -> None:
-        """Take an order as the guard does."""
+        """Admit, queue or refuse an order, as the guard does."""
         clock = self.fleet.clock
         if order.settled:
             return
@@ -91,70 +91,72 @@
                 forwarding.Refused(forwarding.Refusal.NO_RETRY_BUDGET)
             )
             return
-        verdict = self.queue.arrive(order, clock.now)
-        if not verdict.started and not verdict.refused:
-            left_s = self.queue.hopeless_at(order) - clock.now
-            clock.after(max(0.0, left_s), lambda: self._expire(order))
-        self._apply(verdict)
+        decision = self.queue.arrive(order, clock.now)
+        if not decision.started and not decision.refused:
+            remaining_s = self.queue.hopeless_at(order) - clock.now
+            clock.after(max(0.0, remaining_s), lambda: self._expire(order))
+        self._apply(decision)
 
     def _expire(self, order: forwarding.Order) -> None:
         if not order.settled and not order.started:
             self.queue.withdraw(order)
-            return_s = self.queue.return_s(order, self.fleet.clock.now)
+            retry_delay_s = self.queue.return_s(order, self.fleet.clock.now)
             order.settle(
-                forwarding.Refused(forwarding.Refusal.TOO_LATE, return_s)
+                forwarding.Refused(forwarding.Refusal.TOO_LATE, retry_delay_s)
             )
 
-    def _apply(self, verdict: slots.Verdict) -> None:
-        for order in verdict.refused:
-            return_s = self.queue.return_s(order, self.fleet.clock.now)
-            order.settle(forwarding.Refused(forwarding.Refusal.FULL, return_s))
-        for order in verdict.started:
+    def _apply(self, decision: slots.Verdict) -> None:
+        for order in decision.refused:
+            retry_delay_s = self.queue.return_s(order, self.fleet.clock.now)
+            order.settle(
+                forwarding.Refused(forwarding.Refusal.FULL, retry_delay_s)
+            )
+        for order in decision.started:
             self._run(order)
 
     def _run(self, order: forwarding.Order) -> None:
-        """Work, make the calls, answer when both are done."""
+        """Do the work and the calls of a run; answer when both are done."""
         fleet = self.fleet
         route = fleet.routes[order.route]
         self.budget.sent(order.repeat, order.inherited, fleet.clock.now)
         if order.repeat:
-            fleet.found[order.route].repeats += 1
+            fleet.route_results[order.route].repeats += 1
         phase = fleet.ailing(self)
-        if phase is not None and fleet.work_dice.random() < phase.sheds:
-            verdict = self.queue.release(order, fleet.clock.now)
+        if phase is not None and fleet.work_rng.random() < phase.sheds:
+            decision = self.queue.release(order, fleet.clock.now)
             order.settle(SHED)
-            self._apply(verdict)
+            self._apply(decision)
             return
         work_s = fleet.work_s(self, route)
-        left = Left(1)
+        pending = PendingRun(1)
 
-        def part_done(good: bool) -> None:
-            left.parts -= 1
-            left.good = left.good and good
-            if left.parts:
+        def on_part_done(good: bool) -> None:
+            pending.remaining_parts -= 1
+            pending.good = pending.good and good
+            if pending.remaining_parts:
                 return
-            if route.waits and left.good:
+            if route.waits and pending.good:
                 fleet.clock.after(work_s, lambda: self._finish(order, True))
             else:
-                self._finish(order, left.good)
+                self._finish(order, pending.good)
 
         for call in route.calls:
-            if fleet.dice.random() < call.share:
+            if fleet.rng.random() < call.share:
                 for _ in range(call.times):
-                    left.parts += 1
-                    fleet.call(self, fleet.routes[call.route], part_done)
+                    pending.remaining_parts += 1
+                    fleet.call(self, fleet.routes[call.route], on_part_done)
         first_s = 0.0 if route.waits else work_s
-        fleet.clock.after(first_s, lambda: part_done(True))
+        fleet.clock.after(first_s, lambda: on_part_done(True))
 
     def _finish(self, order: forwarding.Order, good: bool) -> None:
-        verdict = self.queue.finish(order, self.fleet.clock.now)
-        order.settle(DONE if good else FAILED)
-        self._apply(verdict)
+        decision = self.queue.finish(order, self.fleet.clock.now)
+        order.settle(SUCCEEDED if good else FAILED)
+        self._apply(decision)
 
 
 @dataclasses.dataclass(slots=True)
-class Left:
-    """What a run still waits for."""
+class PendingRun:
+    """Parts that a run still waits for, and whether all others succeeded."""
 
-    parts: int
+    remaining_parts: int
     good: bool = True
--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -1,6 +1,6 @@
-"""A simulated ingress: from a caller's request to its one answer.
+"""A simulated ingress: dispatch and retries of a caller's request.
 
-The same steps as ``proxy.forwarder`` takes, around the same decisions.
+Follows the steps of ``proxy.forwarder`` and uses the same decisions.
 """
 
 from collections.abc import Callable
@@ -13,13 +13,17 @@
 from peridotpost.model import forwarding
 
 MS_IN_S = 1000.0
-DEFAULT_RETURN_S = 0.25
-"""When to come back where no guard said."""
+DEFAULT_RETRY_DELAY_S = 0.25
+"""Retry delay for refusals that carry none."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Asking:
-    """One attempt of a caller at an ingress."""
+class PendingRequest:
+    """A request that an ingress is handling.
+
+    :param last_asked: whether the last-resort target was tried.
+    :param over: whether the outcome was delivered.
+    """
 
     host: hosts.Host
     route: scenarios.Route
@@ -30,17 +34,17 @@
     attempts: attempts.Attempts
     tried: list[str] = dataclasses.field(default_factory=list)
     last_asked: bool = False
-    return_s: float = DEFAULT_RETURN_S
+    retry_delay_s: float = DEFAULT_RETRY_DELAY_S
     over: bool = False
 
 
 class Ingresses:
-    """Asks targets for the callers and targets of all hosts."""
+    """The ingresses of all hosts: send requests of callers and of targets."""
 
-    def __init__(self, world: hosts.World) -> None:
-        self.world = world
+    def __init__(self, fleet: hosts.FleetContext) -> None:
+        self.fleet = fleet
 
-    def ask(
+    def send_request(
         self,
         host: hosts.Host,
         route: scenarios.Route,
@@ -48,14 +52,14 @@
         done: Callable[[forwarding.Outcome], None],
         first_at: float,
     ) -> None:
-        """Let an ingress take a request; `done` is called once.
+        """Send a request through a host's ingress; `done` is called once.
 
-        :param first_at: when its caller first asked; the ingress knows it
-            of those that it refused.
+        :param first_at: when the caller sent its first attempt; the ingress
+            remembers it for the requests that it refused.
         """
-        now = self.world.clock.now
+        now = self.fleet.clock.now
         deadline = now + route.deadline_ms / MS_IN_S
-        asking = Asking(
+        pending = PendingRequest(
             host,
             route,
             rank,
@@ -64,95 +68,103 @@
             done,
             attempts.Attempts(route.idempotent, route.max_attempts, deadline),
         )
-        self.world.clock.after(
-            route.deadline_ms / MS_IN_S, lambda: self._expired(asking)
+        self.fleet.clock.after(
+            route.deadline_ms / MS_IN_S, lambda: self._on_deadline(pending)
         )
-        self._dispatch(asking)
+        self._dispatch(pending)
 
-    def _expired(self, asking: Asking) -> None:
-        self._end(asking, forwarding.Lost('no answer in time'))
+    def _on_deadline(self, pending: PendingRequest) -> None:
+        self._complete(pending, forwarding.Lost('no answer in time'))
 
-    def _end(self, asking: Asking, outcome: forwarding.Outcome) -> None:
-        if not asking.over:
-            asking.over = True
-            asking.done(outcome)
+    def _complete(
+        self, pending: PendingRequest, outcome: forwarding.Outcome
+    ) -> None:
+        if not pending.over:
+            pending.over = True
+            pending.done(outcome)
 
-    def _dispatch(self, asking: Asking) -> None:
-        candidate = self._choose(asking)
+    def _dispatch(self, pending: PendingRequest) -> None:
+        candidate = self._choose_target(pending)
         if candidate is None:
             refused = forwarding.Refused(
-                forwarding.Refusal.FULL, asking.return_s
+                forwarding.Refusal.FULL, pending.retry_delay_s
             )
-            self._end(asking, refused)
+            self._complete(pending, refused)
             return
-        asking.tried.append(candidate.host)
+        pending.tried.append(candidate.host)
         candidate.outstanding += 1
-        far = candidate.availability_zone != asking.host.zone
-        way_ms = self.world.scenario.in_zone_ms
-        if far:
-            way_ms = self.world.scenario.cross_zone_ms
-            result = self.world.found[asking.route.name]
+        cross_zone = candidate.availability_zone != pending.host.zone
+        latency_ms = self.fleet.scenario.in_zone_ms
+        if cross_zone:
+            latency_ms = self.fleet.scenario.cross_zone_ms
+            result = self.fleet.route_results[pending.route.name]
             result.crossings += 1
-            result.far_kilobytes += asking.route.kilobytes
-            if len(asking.tried) == 1:
-                result.far_first_kilobytes += asking.route.kilobytes
-        way_s = way_ms / MS_IN_S
-        target = self._host(asking.route.service, candidate.host)
-        order = self._order(asking, candidate, target, way_s)
-        self.world.clock.after(way_s, lambda: target.submit(order))
-
-    def _host(self, service: str, name: str) -> hosts.Host:
+            result.far_kilobytes += pending.route.kilobytes
+            if len(pending.tried) == 1:
+                result.far_first_kilobytes += pending.route.kilobytes
+        latency_s = latency_ms / MS_IN_S
+        target = self._find_host(pending.route.service, candidate.host)
+        order = self._make_order(pending, candidate, target, latency_s)
+        self.fleet.clock.after(latency_s, lambda: target.submit(order))
+
+    def _find_host(self, service: str, name: str) -> hosts.Host:
         return next(
-            one for one in self.world.by_service[service] if one.name == name
+            host
+            for host in self.fleet.by_service[service]
+            if host.name == name
         )
 
-    def _choose(self, asking: Asking) -> targetstate.Candidate | None:
-        now = self.world.clock.now
-        host, route = asking.host, asking.route
+    def _choose_target(
+        self, pending: PendingRequest
+    ) -> targetstate.Candidate | None:
+        now = self.fleet.clock.now
+        host, route = pending.host, pending.route
         candidates = host.candidates(route.service)
-        for one in candidates:
-            if one.host == host.name:
-                one.report(host.queue.load, now)
-        left_s = asking.objective - now
-        if left_s <= 0:
-            left_s = asking.deadline - now
-        found = None
-        if not asking.attempts.is_last:
-            found = host.selector.choose(
+        for candidate in candidates:
+            if candidate.host == host.name:
+                candidate.report(host.queue.load, now)
+        remaining_s = pending.objective - now
+        if remaining_s <= 0:
+            remaining_s = pending.deadline - now
+        chosen = None
+        if not pending.attempts.is_last:
+            chosen = host.selector.choose(
                 candidates,
                 route.name,
-                asking.tried,
-                left_s,
+                pending.tried,
+                remaining_s,
                 now,
                 route.idempotent,
             )
-        repeat_refused = asking.attempts.budget_refusals > 0
-        if found is None and not asking.last_asked and not repeat_refused:
-            asking.last_asked = True
-            found = host.selector.last_resort(candidates, route.name, now)
-        return found
+        repeat_refused = pending.attempts.budget_refusals > 0
+        if chosen is None and not pending.last_asked and not repeat_refused:
+            pending.last_asked = True
+            chosen = host.selector.last_resort(candidates, route.name, now)
+        return chosen
 
-    def _order(
+    def _make_order(
         self,
-        asking: Asking,
+        pending: PendingRequest,
         candidate: targetstate.Candidate,
         target: hosts.Host,
-        way_s: float,
+        latency_s: float,
     ) -> forwarding.Order:
-        route = asking.route
+        route = pending.route
 
         def settled(outcome: forwarding.Outcome) -> None:
             load = target.queue.load
             run_s = target.queue.times.expected_s(route.name)
-            self.world.clock.after(way_s, lambda: told(outcome, load, run_s))
+            self.fleet.clock.after(
+                latency_s, lambda: deliver(outcome, load, run_s)
+            )
 
-        def told(
+        def deliver(
             outcome: forwarding.Outcome, load: float, run_s: float
         ) -> None:
             candidate.outstanding -= 1
-            candidate.report(load, self.world.clock.now)
+            candidate.report(load, self.fleet.clock.now)
             candidate.report_run(route.name, run_s)
-            self._ended(asking, candidate, outcome)
+            self._on_outcome(pending, candidate, outcome)
 
         return forwarding.Order(
             number=0,
@@ -163,32 +175,34 @@
             head=b'',
             body=b'',
             idempotent=route.idempotent,
-            rank=asking.rank,
-            deadline=asking.deadline,
-            objective=asking.objective,
-            last=asking.last_asked,
+            rank=pending.rank,
+            deadline=pending.deadline,
+            objective=pending.objective,
+            last=pending.last_asked,
             done=settled,
             route=route.name,
-            repeat=asking.attempts.repeat,
+            repeat=pending.attempts.repeat,
         )
 
-    def _ended(
+    def _on_outcome(
         self,
-        asking: Asking,
+        pending: PendingRequest,
         candidate: targetstate.Candidate,
         outcome: forwarding.Outcome,
     ) -> None:
-        if asking.over:
+        if pending.over:
             return
-        now = self.world.clock.now
-        result = self.world.found[asking.route.name]
+        now = self.fleet.clock.now
+        result = self.fleet.route_results[pending.route.name]
         if isinstance(outcome, forwarding.Refused):
-            asking.return_s = outcome.retry_after_s or asking.return_s
+            pending.retry_delay_s = (
+                outcome.retry_after_s or pending.retry_delay_s
+            )
         if not isinstance(outcome, forwarding.Refused) or outcome.arrived:
             result.arrivals += 1
-            candidate.note(outcome is not hosts.DONE, now)
-        step = asking.attempts.after(outcome, now)
-        if step is attempts.Step.AGAIN and now < asking.deadline:
-            self._dispatch(asking)
+            candidate.note(outcome is not hosts.SUCCEEDED, now)
+        action = pending.attempts.after(outcome, now)
+        if action is attempts.Step.AGAIN and now < pending.deadline:
+            self._dispatch(pending)
         else:
-            self._end(asking, asking.attempts.failed or outcome)
+            self._complete(pending, pending.attempts.failed or outcome)
--- a/src/peridotpost/experiment/plot.py
+++ b/src/peridotpost/experiment/plot.py
@@ -1,4 +1,4 @@
-"""A plot of several runs: credit by route, latency by share of requests."""
+"""Plots runs: credit by route, and the distribution of latency."""
 
 from collections.abc import Sequence
 import pathlib
@@ -8,8 +8,8 @@
 SHARES = tuple(step / 200 for step in range(1, 200))
 
 
-def draw(found: Sequence[results.Result], path: pathlib.Path) -> None:
-    """Write a picture; its format goes by the file's name.
+def draw(run_results: Sequence[results.Result], path: pathlib.Path) -> None:
+    """Draw the runs into `path`, whose suffix sets the image format.
 
     :raises ImportError: matplotlib is not installed.
     """
@@ -19,17 +19,24 @@
     from matplotlib import pyplot
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(12, 5))
-    width = 0.8 / max(1, len(found))
-    for number, one in enumerate(found):
-        names = [name for name in one.routes if one.routes[name].owed]
-        places = [index + number * width for index in range(len(names))]
-        credit = [one.routes[name].credit_share for name in names]
-        left.bar(places, credit, width, label=f'{one.policy}, {one.seed}')
+    width = 0.8 / max(1, len(run_results))
+    for index, run_result in enumerate(run_results):
+        names = [
+            name for name in run_result.routes if run_result.routes[name].owed
+        ]
+        places = [position + index * width for position in range(len(names))]
+        credit = [run_result.routes[name].credit_share for name in names]
+        left.bar(
+            places,
+            credit,
+            width,
+            label=f'{run_result.policy}, {run_result.seed}',
+        )
         left.set_xticks(range(len(names)), names)
         for name in names:
-            latency = one.routes[name].latency
+            latency = run_result.routes[name].latency
             times_ms = [latency.quantile(share) * 1000 for share in SHARES]
-            label = f'{one.policy} {name}'
+            label = f'{run_result.policy} {name}'
             right.plot(times_ms, SHARES, label=label)
     left.set_ylabel('credit earned of owed')
     right.set_ylabel('share of answers')
--- a/src/peridotpost/experiment/results.py
+++ b/src/peridotpost/experiment/results.py
@@ -1,4 +1,4 @@
-"""What the callers of a simulated run received."""
+"""Results of a simulated run, as its callers see them."""
 
 import dataclasses
 
@@ -9,11 +9,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RouteResult:
-    """Outcomes of one kind of request, for callers who may come back.
-
-    :param credit: earned of `owed`, by the route's worth.
-    :param crossings: dispatches to another zone; `far_kilobytes` are theirs,
-        `far_first_kilobytes` those of first choices among them.
+    """Outcomes of the requests of one route; a caller's retries count once.
+
+    :param credit: worth earned, of `owed`, which is the worth of all
+        requests if each were answered within its objective.
+    :param arrivals: dispatches that reached a target's process.
+    :param repeats: runs of retried requests.
+    :param crossings: dispatches to another zone; `far_kilobytes` is their
+        traffic, `far_first_kilobytes` the part of first attempts.
     """
 
     in_time: int = 0
@@ -42,9 +45,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """One run.
+    """Result of one run.
 
-    :param credit_by_zone: share of what callers of each zone were owed.
+    :param events: simulated events that were run.
+    :param credit_by_zone: earned share of the owed worth, by the callers'
+        zone.
     """
 
     policy: str
@@ -56,20 +61,20 @@
 
     @property
     def credit_share(self) -> float:
-        owed = sum(one.owed for one in self.routes.values())
-        credit = sum(one.credit for one in self.routes.values())
+        owed = sum(route.owed for route in self.routes.values())
+        credit = sum(route.credit for route in self.routes.values())
         return credit / owed if owed else 0.0
 
     @property
     def far_kilobytes(self) -> float:
-        return sum(one.far_kilobytes for one in self.routes.values())
+        return sum(route.far_kilobytes for route in self.routes.values())
 
     @property
     def far_first_kilobytes(self) -> float:
-        return sum(one.far_first_kilobytes for one in self.routes.values())
+        return sum(route.far_first_kilobytes for route in self.routes.values())
 
     def to_json(self) -> dict[str, object]:
-        """Return plain data; times in milliseconds."""
+        """Return data for JSON, with times in milliseconds."""
         return {
             'policy': self.policy,
             'seed': self.seed,
@@ -82,25 +87,25 @@
                 for zone in sorted(self.credit_by_zone)
             },
             'routes': {
-                name: _route_json(one) for name, one in self.routes.items()
+                name: _route_json(route) for name, route in self.routes.items()
             },
         }
 
 
-def _route_json(one: RouteResult) -> dict[str, float]:
-    shown: dict[str, float] = {
-        'asked': one.asked,
-        'in_time': one.in_time,
-        'late': one.late,
-        'refused': one.refused,
-        'failed': one.failed,
-        'credit': round(one.credit_share, 4),
-        'arrivals': one.arrivals,
-        'repeats': one.repeats,
-        'crossings': one.crossings,
-        'far_kilobytes': round(one.far_kilobytes, 1),
+def _route_json(route: RouteResult) -> dict[str, float]:
+    document: dict[str, float] = {
+        'asked': route.asked,
+        'in_time': route.in_time,
+        'late': route.late,
+        'refused': route.refused,
+        'failed': route.failed,
+        'credit': round(route.credit_share, 4),
+        'arrivals': route.arrivals,
+        'repeats': route.repeats,
+        'crossings': route.crossings,
+        'far_kilobytes': round(route.far_kilobytes, 1),
     }
     for share in QUANTILES:
         name = f'p{share * 100:g}_ms'
-        shown[name] = round(one.latency.quantile(share) * 1000, 1)
-    return shown
+        document[name] = round(route.latency.quantile(share) * 1000, 1)
+    return document
--- a/src/peridotpost/experiment/scenario.py
+++ b/src/peridotpost/experiment/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: JSON, checked before anything runs."""
+"""Scenario files: JSON that is validated before the simulation starts."""
 
 import pathlib
 from typing import Annotated
@@ -7,138 +7,149 @@
 
 from peridotpost.model import errors
 
-Positive = Annotated[float, msgspec.Meta(gt=0)]
-Count = Annotated[int, msgspec.Meta(ge=1)]
-Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class BadScenario(errors.PeridotError):
-    """A scenario can't be used; says which field and why."""
+class InvalidScenario(errors.PeridotError):
+    """A scenario is invalid; the message names the field and the reason."""
 
 
-class _Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A misspelt field is an error, not a default."""
+class _StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Base of the structures; rejects unknown fields such as misspelt ones."""
 
 
-class Service(_Strict, frozen=True):
-    """Targets of one service.
+class Service(_StrictStruct, frozen=True):
+    """A service and its targets.
 
-    :param per_zone: targets in each zone, one a host.
-    :param targets: of all zones instead, dealt to them in turn.
-    :param speeds: factors on the time of a run, in turn over the targets.
+    :param per_zone: targets in each zone, one per host.
+    :param targets: if set, number of targets over all zones, which
+        replaces `per_zone`; they are assigned to the zones in turn.
+    :param speeds: factors on run times, assigned to the targets in turn.
     """
 
     name: str
-    slots: Count
-    per_zone: Count = 1
+    slots: PositiveInt
+    per_zone: PositiveInt = 1
     targets: Annotated[int, msgspec.Meta(ge=0)] = 0
-    speeds: tuple[Positive, ...] = (1.0,)
+    speeds: tuple[PositiveFloat, ...] = (1.0,)
 
     def count(self, zones: int) -> int:
-        """Return how many targets there are in so many zones."""
+        """Return the number of targets in a fleet of `zones` zones."""
         return self.targets or self.per_zone * zones
 
 
-class InnerCall(_Strict, frozen=True):
-    """Calls that a run makes while it holds its slot.
+class InnerCall(_StrictStruct, frozen=True):
+    """Calls that a run makes to another route while it holds its slot.
 
-    :param share: of the runs that make them.
+    :param share: probability that a run makes them.
     """
 
     route: str
-    times: Count = 1
-    share: Share = 1.0
+    times: PositiveInt = 1
+    share: Fraction = 1.0
 
 
-class Route(_Strict, frozen=True):
+class Route(_StrictStruct, frozen=True):
     """A kind of request.
 
-    :param per_s: requests a second over all zones; 0 for inner calls.
-    :param spread: of the run's time, as a share of its mean (gamma).
-    :param worth: of an answer within the objective; `late_worth` after.
-    :param retries: how often a refused caller comes back.
-    :param kilobytes: request and answer together, with their heads.
-    :param waits: whether a run works only once its calls are answered.
+    :param per_s: requests per second over all zones; 0 for routes that
+        are only called by other routes.
+    :param spread: coefficient of variation of the run time, which is
+        gamma distributed.
+    :param worth: value of an answer within the objective; `late_worth` is
+        that of a later one.
+    :param retries: how often a caller retries after a refusal.
+    :param kilobytes: size of request and answer, headers included.
+    :param waits: whether a run starts its work only after its calls are
+        answered.
     """
 
     name: str
     service: str
-    work_ms: Positive
-    objective_ms: Positive
-    deadline_ms: Positive
-    per_s: NotNegative = 0.0
-    spread: Positive = 0.5
+    work_ms: PositiveFloat
+    objective_ms: PositiveFloat
+    deadline_ms: PositiveFloat
+    per_s: NonNegative = 0.0
+    spread: PositiveFloat = 0.5
     rank: int = 0
-    worth: NotNegative = 1.0
-    late_worth: NotNegative = 0.3
+    worth: NonNegative = 1.0
+    late_worth: NonNegative = 0.3
     idempotent: bool = True
-    max_attempts: Count = 2
+    max_attempts: PositiveInt = 2
     retries: int = 1
-    kilobytes: NotNegative = 1.0
+    kilobytes: NonNegative = 1.0
     calls: tuple[InnerCall, ...] = ()
     waits: bool = False
 
 
-class Phase(_Strict, frozen=True):
-    """A time in which the load or the targets differ.
+class Phase(_StrictStruct, frozen=True):
+    """A period with a different load or with degraded targets.
 
-    :param load: factor on all rates.
-    :param ailing_share: of a service's targets that run `slower` times as
-        long and turn away `sheds` of what they get; the service is `ailing`.
+    :param load: factor on all request rates.
+    :param ailing: service with degraded targets.
+    :param ailing_share: fraction of its targets that are degraded: runs
+        take `slower` times as long, and a fraction `sheds` of the requests
+        is refused.
     """
 
-    start_s: NotNegative
-    end_s: Positive
-    load: Positive = 1.0
+    start_s: NonNegative
+    end_s: PositiveFloat
+    load: PositiveFloat = 1.0
     ailing: str = ''
-    ailing_share: Share = 0.0
-    slower: Positive = 1.0
-    sheds: Share = 0.0
+    ailing_share: Fraction = 0.0
+    slower: PositiveFloat = 1.0
+    sheds: Fraction = 0.0
 
 
-class Retries(_Strict, frozen=True):
-    """Bound on repeats over the fleet."""
+class RetryBudgetConfig(_StrictStruct, frozen=True):
+    """Retry budget of each service over the fleet.
 
-    ratio: NotNegative = 0.2
-    extra: NotNegative = 60.0
-    window_s: Positive = 10.0
+    In a window, retries are at most `ratio` of the requests plus `extra`.
+    """
+
+    ratio: NonNegative = 0.2
+    extra: NonNegative = 60.0
+    window_s: PositiveFloat = 10.0
 
 
-class Scenario(_Strict, frozen=True):
+class Scenario(_StrictStruct, frozen=True):
     """A fleet, its load, and policies to compare.
 
-    :param in_zone_ms: one way between hosts of a zone.
-    :param policies: by name, constants of decision modules to replace,
-        as ``module.CONSTANT``.
+    :param in_zone_ms: one-way network latency between hosts of a zone.
+    :param cross_zone_ms: the same between hosts of different zones.
+    :param policies: by name of the policy, values that override constants
+        of decision modules, as ``module.CONSTANT``.
     """
 
-    zones: Count
+    zones: PositiveInt
     services: tuple[Service, ...]
     routes: tuple[Route, ...]
-    seconds: Positive = 30.0
-    in_zone_ms: NotNegative = 0.2
-    cross_zone_ms: NotNegative = 1.4
-    retry_budget: Retries = Retries()
+    seconds: PositiveFloat = 30.0
+    in_zone_ms: NonNegative = 0.2
+    cross_zone_ms: NonNegative = 1.4
+    retry_budget: RetryBudgetConfig = RetryBudgetConfig()
     phases: tuple[Phase, ...] = ()
     policies: dict[str, dict[str, float]] = {}
 
 
 def load(path: pathlib.Path) -> Scenario:
-    """Read and check a scenario.
+    """Read and validate a scenario.
 
-    :raises BadScenario: with the file, the field and what is wrong.
+    :raises InvalidScenario: with the file, the field and the reason.
     """
     try:
-        found = msgspec.json.decode(path.read_bytes(), type=Scenario)
-        _check(found)
+        scenario = msgspec.json.decode(path.read_bytes(), type=Scenario)
+        _check(scenario)
     except (OSError, msgspec.MsgspecError, ValueError) as error:
-        raise BadScenario(
+        raise InvalidScenario(
             f'{error}; correct the scenario',
             step='scenario.load',
             peer=str(path),
         ) from error
-    return found
+    return scenario
 
 
 def _check(scenario: Scenario) -> None:
@@ -153,8 +164,8 @@
             if call.route not in routes:
                 raise ValueError(
                     f'route {route.name!r} calls {call.route!r}, which is '
-                    'no route'
+                    'not a route'
                 )
     for phase in scenario.phases:
         if phase.ailing and phase.ailing not in services:
-            raise ValueError(f'a phase ails {phase.ailing!r}: no service')
+            raise ValueError(f'phase: no service {phase.ailing!r}')
--- a/src/peridotpost/experiment/simulation.py
+++ b/src/peridotpost/experiment/simulation.py
@@ -1,4 +1,4 @@
-"""A whole simulated fleet, and callers that come back."""
+"""The simulated fleet, and callers that retry after refusals."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -13,25 +13,27 @@
 
 
 class Fleet:
-    """All hosts and what their callers received."""
+    """All hosts, and the results of their callers."""
 
     def __init__(self, scenario: scenarios.Scenario, seed: int) -> None:
         self.scenario = scenario
         self.seed = seed
-        self.dice = random.Random(seed)
-        self.work_dice = random.Random(f'{seed} work')
+        self.rng = random.Random(seed)
+        self.work_rng = random.Random(f'{seed} work')
         self.clock = clocks.SimulatedClock()
         self.routes = {one.name: one for one in scenario.routes}
         self.by_service: dict[str, list[hosts.Host]] = {}
         self.hosts: list[hosts.Host] = []
         self.ingresses = ingress.Ingresses(self)
-        self.found = {name: results.RouteResult() for name in self.routes}
+        self.route_results = {
+            name: results.RouteResult() for name in self.routes
+        }
         self.owed: dict[str, float] = {}
         self.earned: dict[str, float] = {}
         for service in scenario.services:
-            self.by_service[service.name] = list(self._build(service))
+            self.by_service[service.name] = list(self._build_hosts(service))
 
-    def _build(self, service: scenarios.Service) -> Iterator[hosts.Host]:
+    def _build_hosts(self, service: scenarios.Service) -> Iterator[hosts.Host]:
         for index in range(service.count(self.scenario.zones)):
             host = hosts.Host(
                 self, len(self.hosts), index % self.scenario.zones
@@ -43,29 +45,29 @@
             yield host
 
     def run(self) -> None:
-        """Send all requests of the scenario and wait for their ends."""
+        """Run the scenario until every request has its outcome."""
         for route in self.scenario.routes:
             if route.per_s:
-                self._next_arrival(
+                self._schedule_arrival(
                     route, random.Random(f'{self.seed} {route.name}')
                 )
         self.clock.run()
 
-    def _next_arrival(
-        self, route: scenarios.Route, dice: random.Random
+    def _schedule_arrival(
+        self, route: scenarios.Route, rng: random.Random
     ) -> None:
-        rate = route.per_s * self._load(self.clock.now)
-        pause_s = dice.expovariate(rate)
-        if self.clock.now + pause_s > self.scenario.seconds:
+        rate = route.per_s * self._load_factor(self.clock.now)
+        wait_s = rng.expovariate(rate)
+        if self.clock.now + wait_s > self.scenario.seconds:
             return
 
         def arrive() -> None:
-            self._next_arrival(route, dice)
-            Caller(self, dice.choice(self.hosts), route).come()
+            self._schedule_arrival(route, rng)
+            Caller(self, rng.choice(self.hosts), route).send()
 
-        self.clock.after(pause_s, arrive)
+        self.clock.after(wait_s, arrive)
 
-    def _load(self, now: float) -> float:
+    def _load_factor(self, now: float) -> float:
         load = 1.0
         for phase in self.scenario.phases:
             if phase.start_s <= now < phase.end_s:
@@ -73,21 +75,23 @@
         return load
 
     def work_s(self, host: hosts.Host, route: scenarios.Route) -> float:
-        """Draw the time of a run."""
+        """Return a random run time."""
         shape = 1.0 / route.spread**2
         mean_s = route.work_ms / ingress.MS_IN_S * host.speed
-        drawn_s = self.work_dice.gammavariate(shape, mean_s / shape)
+        drawn_s = self.work_rng.gammavariate(shape, mean_s / shape)
         phase = self.ailing(host)
         return drawn_s * phase.slower if phase is not None else drawn_s
 
     def ailing(self, host: hosts.Host) -> scenarios.Phase | None:
-        """Return the phase in which a host's target ails now, if any."""
+        """Return the current phase if it degrades the host's target."""
         for phase in self.scenario.phases:
             if not phase.start_s <= self.clock.now < phase.end_s:
                 continue
             if phase.ailing == host.service:
-                ill = self.by_service[host.service]
-                if ill.index(host) < phase.ailing_share * len(ill):
+                service_hosts = self.by_service[host.service]
+                if service_hosts.index(host) < phase.ailing_share * len(
+                    service_hosts
+                ):
                     return phase
         return None
 
@@ -97,29 +101,33 @@
         route: scenarios.Route,
         done: Callable[[bool], None],
     ) -> None:
-        """Make a call of a target, by the ingress beside it."""
-        result = self.found[route.name]
+        """Make a call of a target, through the ingress of its host."""
+        result = self.route_results[route.name]
         started = self.clock.now
 
-        def ended(outcome: forwarding.Outcome) -> None:
-            good = outcome is hosts.DONE
-            self._count(result, route, outcome, self.clock.now - started)
+        def on_outcome(outcome: forwarding.Outcome) -> None:
+            good = outcome is hosts.SUCCEEDED
+            self._count_outcome(
+                result, route, outcome, self.clock.now - started
+            )
             done(good)
 
-        self.ingresses.ask(host, route, route.rank, ended, started)
+        self.ingresses.send_request(
+            host, route, route.rank, on_outcome, started
+        )
 
-    def _count(
+    def _count_outcome(
         self,
         result: results.RouteResult,
         route: scenarios.Route,
         outcome: forwarding.Outcome,
         elapsed_s: float,
     ) -> float:
-        """Note how a request ended; return the worth that it earned."""
+        """Count the outcome of a request; return the worth that it earned."""
         if isinstance(outcome, forwarding.Refused):
             result.refused += 1
             return 0.0
-        if outcome is not hosts.DONE:
+        if outcome is not hosts.SUCCEEDED:
             result.failed += 1
             return 0.0
         result.latency.add(elapsed_s)
@@ -129,15 +137,15 @@
         result.late += 1
         return route.late_worth
 
-    def finished(
+    def record_outcome(
         self,
         caller: 'Caller',
         outcome: forwarding.Outcome,
         elapsed_s: float,
     ) -> None:
-        """Note what a caller received in the end."""
-        result = self.found[caller.route.name]
-        earned = self._count(result, caller.route, outcome, elapsed_s)
+        """Record the final outcome of a caller's request."""
+        result = self.route_results[caller.route.name]
+        earned = self._count_outcome(result, caller.route, outcome, elapsed_s)
         result.credit += earned
         result.owed += caller.route.worth
         zone = caller.host.zone
@@ -146,7 +154,7 @@
 
 
 class Caller:
-    """One caller of one request, who comes back when told to."""
+    """The caller of one request, which retries after the given delay."""
 
     def __init__(
         self, fleet: Fleet, host: hosts.Host, route: scenarios.Route
@@ -157,35 +165,37 @@
         self.first_at = fleet.clock.now
         self.left = route.retries
 
-    def come(self) -> None:
-        self.fleet.ingresses.ask(
+    def send(self) -> None:
+        self.fleet.ingresses.send_request(
             self.host,
             self.route,
             self.route.rank,
-            self.ended,
+            self.on_outcome,
             self.first_at,
         )
 
-    def ended(self, outcome: forwarding.Outcome) -> None:
+    def on_outcome(self, outcome: forwarding.Outcome) -> None:
         now = self.fleet.clock.now
         if isinstance(outcome, forwarding.Refused) and self.left > 0:
             self.left -= 1
-            pause_s = outcome.retry_after_s or ingress.DEFAULT_RETURN_S
-            self.fleet.clock.after(pause_s, self.come)
+            wait_s = outcome.retry_after_s or ingress.DEFAULT_RETRY_DELAY_S
+            self.fleet.clock.after(wait_s, self.send)
             return
-        self.fleet.finished(self, outcome, now - self.first_at)
+        self.fleet.record_outcome(self, outcome, now - self.first_at)
 
 
 def play(
     scenario: scenarios.Scenario, seed: int, policy: str
 ) -> results.Result:
-    """Run a scenario once, with the constants as they stand."""
+    """Run a scenario once, with the current values of the constants."""
     fleet = Fleet(scenario, seed)
     fleet.run()
-    found = results.Result(policy, seed, len(fleet.hosts), fleet.clock.done)
-    found.routes = fleet.found
-    found.credit_by_zone = {
+    run_result = results.Result(
+        policy, seed, len(fleet.hosts), fleet.clock.done
+    )
+    run_result.routes = fleet.route_results
+    run_result.credit_by_zone = {
         zone: fleet.earned.get(zone, 0.0) / fleet.owed[zone]
         for zone in fleet.owed
     }
-    return found
+    return run_result
--- a/testing/test_experiment.py
+++ b/testing/test_experiment.py
@@ -1,4 +1,4 @@
-"""The model of an experiment: what it plays, and what decisions do in it."""
+"""The fleet simulation, and how the decisions perform in it."""
 
 import json
 import pathlib
@@ -24,7 +24,7 @@
     return scenarios.load(DOUBLE_LOAD)
 
 
-PLAIN_ROUTE: dict[str, object] = {
+BASIC_ROUTE: dict[str, object] = {
     'name': 'r',
     'service': 's',
     'per_s': 20,
@@ -34,33 +34,33 @@
 }
 
 
-def calm(**changes: object) -> scenarios.Scenario:
-    """Return a small fleet with room for all, with changes."""
-    plain = {
+def light_load(**changes: object) -> scenarios.Scenario:
+    """Return a small, lightly loaded fleet, with fields replaced."""
+    base_scenario = {
         'zones': 2,
         'seconds': 5,
         'services': [{'name': 's', 'per_zone': 2, 'slots': 4}],
-        'routes': [PLAIN_ROUTE],
+        'routes': [BASIC_ROUTE],
     }
-    return msgspec.convert(plain | changes, scenarios.Scenario)
+    return msgspec.convert(base_scenario | changes, scenarios.Scenario)
 
 
 def play(
     scenario: scenarios.Scenario, seed: int = 1, **constants: float
 ) -> results.Result:
-    named = {name.replace('__', '.'): constants[name] for name in constants}
-    with policies.replaced(named):
+    by_path = {name.replace('__', '.'): constants[name] for name in constants}
+    with policies.replaced(by_path):
         return simulation.play(scenario, seed, 'test')
 
 
-def test_a_calm_fleet_serves_all_in_its_own_zone() -> None:
-    found = play(calm()).routes['r']
-    assert found.asked == found.in_time > 50
-    assert found.credit == found.owed
-    assert found.crossings == 0
+def test_lightly_loaded_fleet_serves_all_in_own_zone() -> None:
+    result = play(light_load()).routes['r']
+    assert result.asked == result.in_time > 50
+    assert result.credit == result.owed
+    assert result.crossings == 0
 
 
-def test_a_seed_plays_the_same_each_time(
+def test_same_seed_gives_same_result(
     double_load: scenarios.Scenario,
 ) -> None:
     short = msgspec.structs.replace(double_load, seconds=3.0, phases=())
@@ -68,9 +68,9 @@
     assert play(short, 4).to_json() != play(short, 5).to_json()
 
 
-def test_a_refused_caller_comes_back_and_is_counted_once() -> None:
-    """One slot, runs as long as the objective: most are refused at first."""
-    scenario = calm(
+def test_refused_caller_retries_and_is_counted_once() -> None:
+    """One slot, runs about as long as the objective: most refused at first."""
+    scenario = light_load(
         zones=1,
         services=[{'name': 's', 'per_zone': 1, 'slots': 1}],
         routes=[
@@ -85,17 +85,17 @@
             }
         ],
     )
-    found = play(scenario).routes['r']
-    assert found.refused and found.late
-    assert found.asked == found.in_time + found.late + found.refused + (
-        found.failed
+    result = play(scenario).routes['r']
+    assert result.refused and result.late
+    assert result.asked == result.in_time + result.late + result.refused + (
+        result.failed
     )
 
 
-def test_a_call_that_fails_fails_the_run_that_made_it() -> None:
-    scenario = calm(
+def test_failed_inner_call_fails_its_run() -> None:
+    scenario = light_load(
         routes=[
-            PLAIN_ROUTE | {'max_attempts': 1, 'calls': [{'route': 'inner'}]},
+            BASIC_ROUTE | {'max_attempts': 1, 'calls': [{'route': 'inner'}]},
             {
                 'name': 'inner',
                 'service': 's',
@@ -105,9 +105,9 @@
             },
         ]
     )
-    found = play(scenario)
-    assert found.routes['inner'].failed
-    assert found.routes['r'].failed > found.routes['r'].in_time
+    result = play(scenario)
+    assert result.routes['inner'].failed
+    assert result.routes['r'].failed > result.routes['r'].in_time
 
 
 @pytest.mark.parametrize(
@@ -118,19 +118,19 @@
         pytest.param(6, 50, id='300 hosts'),
     ],
 )
-def test_fleets_of_all_sizes_are_played(zones: int, per_zone: int) -> None:
-    scenario = calm(
+def test_fleets_of_all_sizes_are_simulated(zones: int, per_zone: int) -> None:
+    scenario = light_load(
         zones=zones,
         seconds=2,
         services=[{'name': 's', 'per_zone': per_zone, 'slots': 4}],
     )
-    found = play(scenario)
-    assert found.hosts == zones * per_zone
-    assert found.credit_share == 1.0
+    result = play(scenario)
+    assert result.hosts == zones * per_zone
+    assert result.credit_share == 1.0
 
 
 @pytest.mark.parametrize(
-    ('change', 'words'),
+    ('change', 'message'),
     [
         pytest.param({'routes': [{'name': 'r'}]}, 'service', id='missing'),
         pytest.param({'zone': 2}, 'unknown field', id='misspelt'),
@@ -138,18 +138,18 @@
         pytest.param(
             {'phases': [{'start_s': 0, 'end_s': 1, 'ailing': 'x'}]},
             'no service',
-            id='ailing nobody',
+            id='degraded service unknown',
         ),
     ],
 )
-def test_a_wrong_scenario_names_file_and_field(
-    change: dict[str, object], words: str, tmp_path: pathlib.Path
+def test_invalid_scenario_error_names_file_and_field(
+    change: dict[str, object], message: str, tmp_path: pathlib.Path
 ) -> None:
     path = tmp_path / 'wrong.json'
     path.write_text(json.dumps(json.loads(DOUBLE_LOAD.read_text()) | change))
-    with pytest.raises(scenarios.BadScenario) as caught:
+    with pytest.raises(scenarios.InvalidScenario) as caught:
         scenarios.load(path)
-    assert words in str(caught.value)
+    assert message in str(caught.value)
     assert 'wrong.json' in str(caught.value)
 
 
@@ -161,32 +161,34 @@
         pytest.param('selection.Selector', id='no number'),
     ],
 )
-def test_a_policy_replaces_numbers_of_decisions_only(name: str) -> None:
-    with pytest.raises(policies.NoSuchConstant), policies.replaced({name: 1}):
+def test_policy_overrides_numeric_decision_constants_only(name: str) -> None:
+    with pytest.raises(policies.UnknownConstant), policies.replaced({name: 1}):
         pass
 
 
-def test_a_policy_has_ended_when_its_run_is() -> None:
+def test_policy_constants_are_restored_after_the_run() -> None:
     before = selection.WORTH_CROSSING
     with policies.replaced({'selection.WORTH_CROSSING': 0.9}):
         assert selection.WORTH_CROSSING == 0.9
     assert selection.WORTH_CROSSING == before
 
 
-def test_compare_shows_each_policy_and_draws(tmp_path: pathlib.Path) -> None:
+def test_compare_prints_each_policy_and_writes_plot(
+    tmp_path: pathlib.Path,
+) -> None:
     raw = json.loads(DOUBLE_LOAD.read_text()) | {'seconds': 1, 'phases': []}
     path = tmp_path / 's.json'
     path.write_text(json.dumps(raw))
-    picture = tmp_path / 'p.svg'
+    plot_file = tmp_path / 'p.svg'
     result = click_testing.CliRunner().invoke(
         experiment.main,
         ['compare', str(path), 'as-built', 'own-zone-only', '--json']
-        + ['--plot', str(picture)],
+        + ['--plot', str(plot_file)],
     )
     assert result.exit_code == 0, result.output
-    shown = json.loads(result.output)
-    assert [one['policy'] for one in shown] == ['as-built', 'own-zone-only']
-    assert picture.stat().st_size
+    printed = json.loads(result.output)
+    assert [row['policy'] for row in printed] == ['as-built', 'own-zone-only']
+    assert plot_file.stat().st_size
     unknown = click_testing.CliRunner().invoke(
         experiment.main, ['run', str(path), '--policy', 'none']
     )
@@ -195,61 +197,63 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_a_surge_crosses_zones_only_where_that_serves_callers(
+def test_surge_crosses_zones_only_if_callers_benefit(
     double_load: scenarios.Scenario, seed: int
 ) -> None:
-    """Load nearly doubles, and two of five targets of a service ail.
+    """Load nearly doubles, and two of five targets of a service degrade.
 
-    With zones crossed for any gain, requests rush to far targets that
-    others rush to as well: the bytes are paid for, and callers are served
-    no better.  With none crossed, the worst zone pays.
+    If requests cross zones for any gain, many choose the same remote
+    targets: cross-zone traffic rises and callers are served no better.  If
+    none crosses, the worst zone earns less.
     """
     built = play(double_load, seed)
-    eager = play(
+    crossing_freely = play(
         double_load,
         seed,
         selection__OWN_ZONE_SHARE=0.0,
         selection__WORTH_CROSSING=1.0,
     )
-    # What is asked second, after a refusal, does not hang on this choice.
-    assert built.far_first_kilobytes < 0.25 * eager.far_first_kilobytes
-    assert built.far_kilobytes < 0.5 * eager.far_kilobytes
-    assert built.credit_share > eager.credit_share - 0.01
-    alone = play(double_load, seed, selection__WORTH_CROSSING=0.0)
+    # Retries after a refusal do not depend on these constants.
+    assert (
+        built.far_first_kilobytes < 0.25 * crossing_freely.far_first_kilobytes
+    )
+    assert built.far_kilobytes < 0.5 * crossing_freely.far_kilobytes
+    assert built.credit_share > crossing_freely.credit_share - 0.01
+    own_zone_only = play(double_load, seed, selection__WORTH_CROSSING=0.0)
     worst = min(built.credit_by_zone.values())
-    assert worst > min(alone.credit_by_zone.values()) + 0.01
+    assert worst > min(own_zone_only.credit_by_zone.values()) + 0.01
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_far_targets_are_asked_second_only_where_that_serves_callers(
+def test_retries_cross_zones_only_if_callers_benefit(
     double_load: scenarios.Scenario, seed: int
 ) -> None:
-    """A surge refuses first choices, and each is put to another zone.
+    """In a surge, first choices refuse and requests are retried elsewhere.
 
-    Targets there that are full in all but name refuse as well; the bytes
-    are paid for, and callers are served no better.
+    If almost full targets of other zones are candidates, they refuse as
+    well: cross-zone traffic rises and callers are served no better.
     """
     built = play(double_load, seed)
-    eager = play(double_load, seed, selection__FULL=1.2)
-    assert built.far_kilobytes < 0.9 * eager.far_kilobytes
-    assert built.credit_share > eager.credit_share - 0.01
+    crossing_freely = play(double_load, seed, selection__FULL=1.2)
+    assert built.far_kilobytes < 0.9 * crossing_freely.far_kilobytes
+    assert built.credit_share > crossing_freely.credit_share - 0.01
 
 
-def test_requests_that_will_be_late_do_not_hold_up_the_others(
+def test_late_requests_do_not_delay_urgent_ones(
     double_load: scenarios.Scenario,
 ) -> None:
-    """The most urgent route keeps its credit whatever the least one does."""
-    found = play(double_load).routes
-    urgent, least = found['coin-settle'], found['kiosk-status']
-    assert urgent.credit_share > 0.97
-    assert least.credit_share < urgent.credit_share
+    """The most urgent route keeps its credit; the least urgent one loses."""
+    routes = play(double_load).routes
+    most_urgent, least_urgent = routes['coin-settle'], routes['kiosk-status']
+    assert most_urgent.credit_share > 0.97
+    assert least_urgent.credit_share < most_urgent.credit_share
 
 
-def test_calls_survive_a_target_that_turns_them_away() -> None:
-    """One of four targets turns half of its requests away for a while.
+def test_refusals_of_one_target_do_not_fail_inner_calls() -> None:
+    """One of four targets refuses half of its requests for a while.
 
-    Calls of targets have one attempt.  Where a refusal used that up, every
-    eighth call failed, and with it the request that it was made for.
+    Inner calls have one attempt.  When a refusal counted as that attempt,
+    every eighth call failed, and with it the request that made it.
     """
     inner = {
         'name': 'inner',
@@ -269,7 +273,7 @@
         'max_attempts': 1,
         'calls': [{'route': 'inner', 'times': 2}],
     }
-    scenario = calm(
+    scenario = light_load(
         services=[
             {'name': 'outer', 'per_zone': 2, 'slots': 6},
             {'name': 'inner', 'per_zone': 2, 'slots': 6},
@@ -285,15 +289,15 @@
             }
         ],
     )
-    found = play(scenario)
-    assert found.routes['inner'].repeats > 0
-    assert found.routes['outer'].credit_share > 0.97
+    result = play(scenario)
+    assert result.routes['inner'].repeats > 0
+    assert result.routes['outer'].credit_share > 0.97
 
 
-def test_a_fleet_of_the_size_designed_for_is_played() -> None:
+def test_fleet_of_design_size_is_simulated() -> None:
     """5,214 hosts: 158 services with three targets in each of 11 zones."""
     names = [f's{number}' for number in range(158)]
-    scenario = calm(
+    scenario = light_load(
         zones=11,
         seconds=1,
         services=[{'name': name, 'per_zone': 3, 'slots': 6} for name in names],
@@ -309,91 +313,99 @@
             for name in names
         ],
     )
-    found = play(scenario)
-    assert found.hosts == 5214
-    assert found.credit_share > 0.99
-    crossings = sum(one.crossings for one in found.routes.values())
+    result = play(scenario)
+    assert result.hosts == 5214
+    assert result.credit_share > 0.99
+    crossings = sum(route.crossings for route in result.routes.values())
     assert crossings == 0
 
 
 def overloaded(**changes: object) -> scenarios.Scenario:
-    """Return the small fleet with twice what its slots can run."""
-    heavy = PLAIN_ROUTE | {'per_s': 800, 'work_ms': 40}
-    return calm(routes=[heavy | changes])
+    """Return the small fleet at twice the load that its slots can run."""
+    overload_route = BASIC_ROUTE | {'per_s': 800, 'work_ms': 40}
+    return light_load(routes=[overload_route | changes])
 
 
 @pytest.mark.parametrize(
     ('changes', 'share', 'binds'),
     [
-        pytest.param({'per_s': 200}, 1.0, [], id='room for all'),
+        pytest.param({'per_s': 200}, 1.0, [], id='enough slots'),
         pytest.param({}, 0.5, ['s'], id='twice the slots'),
         pytest.param({'work_ms': 80}, 0.25, ['s'], id='four times the slots'),
     ],
 )
-def test_the_bound_is_what_the_slots_can_serve(
+def test_bound_is_slot_capacity(
     changes: dict[str, object], share: float, binds: list[str]
 ) -> None:
-    (found,) = bound.intervals(overloaded(**changes))
-    assert found.share == pytest.approx(share)
-    assert list(found.worth_of_slot) == binds
+    (interval,) = bound.intervals(overloaded(**changes))
+    assert interval.share == pytest.approx(share)
+    assert list(interval.worth_of_slot) == binds
 
 
-def test_the_bound_counts_calls_at_the_service_that_they_go_to() -> None:
-    """Requests fail though their own service has room: their calls have none.
+def test_bound_includes_slots_of_called_services() -> None:
+    """A request is limited by slots of its service and of those it calls.
 
-    A booking takes a slot of its service for its run and its calls, and the
-    calls take slots of another one; the bound is the tighter of the two.
+    A booking holds a slot of its own service during its run and its calls,
+    and the calls use slots of another service.  Requests fail although
+    their own service has free slots; the bound is the tighter of the two.
     """
-    found = bound.intervals(scenarios.load(EXAMPLES / 'called-service.json'))
-    shares = [round(one.share, 2) for one in found]
+    intervals = bound.intervals(
+        scenarios.load(EXAMPLES / 'called-service.json')
+    )
+    shares = [round(interval.share, 2) for interval in intervals]
     assert shares[:2] == [1.0, 1.0]
-    assert list(found[2].worth_of_slot) == ['schedule']
-    assert found[2].served['book'] == pytest.approx(1.0)
-    assert found[2].served['sheet'] < 0.5
+    assert list(intervals[2].worth_of_slot) == ['schedule']
+    assert intervals[2].served['book'] == pytest.approx(1.0)
+    assert intervals[2].served['sheet'] < 0.5
 
 
 @pytest.mark.parametrize('name', ['double-load.json', 'called-service.json'])
-def test_no_policy_earns_more_than_the_bound(name: str) -> None:
+def test_no_policy_exceeds_bound(name: str) -> None:
     scenario = scenarios.load(EXAMPLES / name)
-    most = bound.credit_share(bound.intervals(scenario))
+    upper_bound = bound.credit_share(bound.intervals(scenario))
     for policy in ({}, *scenario.policies.values()):
         with policies.replaced(policy):
-            assert simulation.play(scenario, 1, 'test').credit_share <= most
+            assert (
+                simulation.play(scenario, 1, 'test').credit_share
+                <= upper_bound
+            )
 
 
-def test_as_built_earns_most_of_the_bound() -> None:
+def test_default_constants_come_close_to_bound() -> None:
     scenario = scenarios.load(EXAMPLES / 'called-service.json')
-    most = bound.credit_share(bound.intervals(scenario))
-    assert play(scenario).credit_share > 0.95 * most
+    upper_bound = bound.credit_share(bound.intervals(scenario))
+    assert play(scenario).credit_share > 0.95 * upper_bound
 
 
-def test_bound_as_a_command() -> None:
+def test_bound_command_prints_text_and_json() -> None:
     runner = click_testing.CliRunner()
     file = str(EXAMPLES / 'called-service.json')
-    shown = runner.invoke(experiment.main, ['bound', file])
-    assert shown.exit_code == 0
-    assert 'schedule' in shown.output
-    told = runner.invoke(experiment.main, ['bound', file, '--json'])
-    found = json.loads(told.output)
-    assert 0.5 < found['earned'] < 1.0
-    assert len(found['intervals']) == 4
+    text_result = runner.invoke(experiment.main, ['bound', file])
+    assert text_result.exit_code == 0
+    assert 'schedule' in text_result.output
+    json_result = runner.invoke(experiment.main, ['bound', file, '--json'])
+    document = json.loads(json_result.output)
+    assert 0.5 < document['earned'] < 1.0
+    assert len(document['intervals']) == 4
 
 
 SCARCE_CALLEE = EXAMPLES / 'scarce-callee.json'
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_slots_of_slow_targets_are_used_before_fast_ones_queue(
+def test_slow_targets_are_used_before_fast_ones_queue(
     seed: int,
 ) -> None:
-    """Calls wait behind the queues of fast targets, and hold their callers.
+    """Inner calls that queue for fast targets keep their callers' slots busy.
 
-    Targets of one service differ in speed by more than two, and runs hold
-    their slots while they wait for calls.
+    Speeds of the targets of one service differ by a factor of more than
+    two, and runs hold their slots while they wait for calls.
     """
     scarce = scenarios.load(SCARCE_CALLEE)
     built = play(scarce, seed)
-    selfish = play(scarce, seed, targetstate__WAIT_WEIGHT=1.0)
-    late = sum(one.late for one in built.routes.values())
-    assert late < 0.95 * sum(one.late for one in selfish.routes.values())
-    assert built.credit_share > selfish.credit_share
+    own_wait_only = play(scarce, seed, targetstate__WAIT_WEIGHT=1.0)
+    late = sum(route.late for route in built.routes.values())
+    assert late < 0.95 * sum(
+        route.late for route in own_wait_only.routes.values()
+    )
+    assert built.credit_share > own_wait_only.credit_share
