--- a/src/peridotpost/cli/load.py
+++ b/src/peridotpost/cli/load.py
@@ -1,4 +1,4 @@
-"""``peridot-load``: a small open-loop load tool."""
+"""``peridot-load``: an open-loop load generator."""
 
 import json
 import pathlib
@@ -22,7 +22,7 @@
 
 @click.group(epilog='Example: peridot-load compare a.json b.json')
 def main() -> None:
-    """Send calls at a given rate; count what callers receive."""
+    """Send calls at a given rate and count their outcomes."""
 
 
 @main.command(epilog=RUN_EXAMPLES)
@@ -31,14 +31,14 @@
     'daemons',
     multiple=True,
     required=True,
-    help="ADDRESS:PORT of a daemon's caller port; in turn if repeated.",
+    help="ADDRESS:PORT of a daemon's caller port; several are used in turn.",
 )
 @click.option(
     '--service',
     'services',
     multiple=True,
     required=True,
-    help='Name for the Host header; in turn if repeated.',
+    help='Value of the Host header; several are used in turn.',
 )
 @click.option('--method', default='GET', show_default=True)
 @click.option('--path', default='/', show_default=True)
@@ -46,10 +46,14 @@
 @click.option(
     '--header', 'headers', multiple=True, help='NAME:VALUE, may be repeated.'
 )
-@click.option('--keyed', is_flag=True, help='An Idempotency-Key for each.')
+@click.option(
+    '--keyed',
+    is_flag=True,
+    help='Send a unique Idempotency-Key with each call.',
+)
 @click.option(
     '--pattern',
-    type=click.Choice([one.value for one in arrivals.Pattern]),
+    type=click.Choice([pattern.value for pattern in arrivals.Pattern]),
     default=arrivals.Pattern.CONSTANT.value,
     show_default=True,
 )
@@ -58,7 +62,7 @@
     type=click.FloatRange(0.1, 100_000),
     default=100.0,
     show_default=True,
-    help='Calls a second.',
+    help='Calls per second.',
 )
 @click.option(
     '--seconds',
@@ -72,23 +76,27 @@
     '--target',
     'targets',
     multiple=True,
-    help='Base address of a stand-in target, whose count of runs for each '
-    'key is compared with what callers were told.',
+    help='Base URL of a stand-in target, whose run count for each key is '
+    'compared with the outcomes of the calls.',
 )
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def run(as_json: bool, targets: tuple[str, ...], **options: Any) -> None:
-    """Send calls; exit with 1 if a key ran twice or ran untold."""
+    """Send calls; exit with 1 on duplicate or wrongly reported runs."""
     plan = _plan(**options)
 
     async def body() -> int:
-        one = runner.Runner(plan, lambda line: click.echo(line, err=True))
-        result = await one.run()
+        load_runner = runner.Runner(
+            plan, lambda line: click.echo(line, err=True)
+        )
+        result = await load_runner.run()
         if targets:
-            await one.check_runs(targets)
-        shown = result.to_json()
-        click.echo(json.dumps(shown) if as_json else report.show(shown))
-        wrong = result.doubled_runs or result.false_not_run
-        return common.EXIT_FAILED if wrong else common.EXIT_OK
+            await load_runner.check_runs(targets)
+        document = result.to_json()
+        click.echo(
+            json.dumps(document) if as_json else report.format_result(document)
+        )
+        has_wrong_runs = result.doubled_runs or result.false_not_run
+        return common.EXIT_FAILED if has_wrong_runs else common.EXIT_OK
 
     common.run(body)
 
@@ -126,22 +134,22 @@
 @click.argument('first', type=click.Path(path_type=pathlib.Path))
 @click.argument('second', type=click.Path(path_type=pathlib.Path))
 def compare(first: pathlib.Path, second: pathlib.Path) -> None:
-    """Show two JSON results side by side."""
+    """Print two JSON results side by side."""
     click.echo(report.compare(_read(first), _read(second)))
 
 
 def _read(file: pathlib.Path) -> dict[str, Any]:
     try:
-        shown = json.loads(file.read_text())
+        document = json.loads(file.read_text())
     except (OSError, ValueError) as error:
         raise click.ClickException(
             f'{file}: {error}; give a file that --json wrote'
         ) from error
-    if not isinstance(shown, dict) or 'outcomes' not in shown:
+    if not isinstance(document, dict) or 'outcomes' not in document:
         raise click.ClickException(
-            f'{file}: is no result; give a file that --json wrote'
+            f'{file}: not a load result; give a file that --json wrote'
         )
-    return shown
+    return document
 
 
 if __name__ == '__main__':
--- a/src/peridotpost/load/__init__.py
+++ b/src/peridotpost/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: open-loop arrivals, what callers receive, reports."""
+"""The load generator: open-loop arrivals, outcomes and reports."""
--- a/src/peridotpost/load/arrivals.py
+++ b/src/peridotpost/load/arrivals.py
@@ -1,7 +1,7 @@
-"""When calls arrive: an open loop, which does not wait for answers.
+"""Arrival times of an open loop, which does not wait for answers.
 
-A closed loop sends less the slower the system is, and so hides the very
-times in which callers suffer.
+A closed loop sends fewer calls when the system is slow, and so hides the
+periods in which callers see high latency.
 """
 
 from collections.abc import Iterator
@@ -10,25 +10,25 @@
 
 
 class Pattern(enum.StrEnum):
-    """How arrivals are spaced."""
+    """Distribution of the intervals between arrivals."""
 
     CONSTANT = 'constant'
     POISSON = 'poisson'
 
 
 def arrivals(
-    pattern: Pattern, rate: float, seconds: float, randomness: random.Random
+    pattern: Pattern, rate: float, seconds: float, rng: random.Random
 ) -> Iterator[float]:
-    """Yield the second of each arrival, counted from the start.
+    """Yield arrival times in seconds from the start.
 
-    :param rate: mean arrivals a second.
+    :param rate: mean arrivals per second.
     """
-    at = 0.0
+    arrival_s = 0.0
     while True:
         if pattern is Pattern.POISSON:
-            at += randomness.expovariate(rate)
+            arrival_s += rng.expovariate(rate)
         else:
-            at += 1 / rate
-        if at > seconds:
+            arrival_s += 1 / rate
+        if arrival_s > seconds:
             return
-        yield at
+        yield arrival_s
--- a/src/peridotpost/load/client.py
+++ b/src/peridotpost/load/client.py
@@ -1,4 +1,4 @@
-"""A caller's HTTP/1.1 client that keeps its connections."""
+"""An HTTP/1.1 client with a pool of persistent connections."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request; `headers` are name and value pairs."""
+    """An HTTP request; `headers` are pairs of name and value."""
 
     method: str
     path: str
@@ -19,8 +19,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Received:
-    """A whole answer; `status` is 0 until one was read."""
+class Response:
+    """A response; `status` is 0 until the headers are read.
+
+    :param size: bytes of the body.
+    """
 
     status: int = 0
     headers: httputil.HTTPHeaders = dataclasses.field(
@@ -29,13 +32,13 @@
     size: int = 0
 
 
-class AnswerMissing(Exception):
-    """The connection ended before a whole answer was read."""
+class IncompleteResponse(Exception):
+    """The connection was closed before the whole response was read."""
 
 
-class _Reader(httputil.HTTPMessageDelegate):
+class _ResponseReader(httputil.HTTPMessageDelegate):
     def __init__(self) -> None:
-        self.received = Received()
+        self.received = Response()
         self.finished = False
 
     def headers_received(
@@ -55,7 +58,7 @@
 
 
 class Client:
-    """Connections to one address; the most recently used goes first."""
+    """Pool of connections to one address; reuses the latest one first."""
 
     def __init__(self, address: str, port: int) -> None:
         self.address = address
@@ -69,26 +72,31 @@
             stream.close()
         self.idle.clear()
 
-    async def send(self, request: Request) -> Received:
-        """Send `request` and read its whole answer.
+    async def send(self, request: Request) -> Response:
+        """Send `request` and read the whole response.
 
-        :raises OSError: no connection; nothing was sent.
-        :raises AnswerMissing: sent, and no whole answer came.
+        :raises OSError: connecting failed; nothing was sent.
+        :raises IncompleteResponse: the request was sent, but the connection
+            was closed before the whole response arrived.
         """
         stream = self._take_idle() or await self._connect()
-        reader = _Reader()
-        kept = False
+        reader = _ResponseReader()
+        reusable = False
         try:
             await _exchange(stream, request, reader)
             if not reader.finished:
-                raise AnswerMissing('the connection ended early')
-            closing = reader.received.headers.get('Connection', '')
-            kept = closing.lower() != 'close' and not stream.closed()
+                raise IncompleteResponse(
+                    'connection closed before the response was complete'
+                )
+            connection_header = reader.received.headers.get('Connection', '')
+            reusable = (
+                connection_header.lower() != 'close' and not stream.closed()
+            )
             return reader.received
         except iostream.StreamClosedError as error:
-            raise AnswerMissing(str(error)) from error
+            raise IncompleteResponse(str(error)) from error
         finally:
-            if kept:
+            if reusable:
                 self.idle.append(stream)
             else:
                 stream.close()
@@ -108,7 +116,7 @@
 
 
 async def _exchange(
-    stream: iostream.IOStream, request: Request, reader: _Reader
+    stream: iostream.IOStream, request: Request, reader: _ResponseReader
 ) -> None:
     connection = http1connection.HTTP1Connection(
         stream,
@@ -120,7 +128,9 @@
     for name, value in request.headers:
         headers.add(name, value)
     headers['Content-Length'] = str(len(request.body))
-    writing = connection.write_headers(start, headers, request.body or None)
+    headers_written = connection.write_headers(
+        start, headers, request.body or None
+    )
     connection.finish()
-    await writing
+    await headers_written
     await connection.read_response(reader)
--- a/src/peridotpost/load/histogram.py
+++ b/src/peridotpost/load/histogram.py
@@ -3,15 +3,15 @@
 import dataclasses
 import math
 
-GROWTH = 1.02
-"""Each bucket's upper bound over its lower; a value is told within 1%."""
-LOWEST_S = 1e-6
-_LOG_GROWTH = math.log(GROWTH)
+BUCKET_RATIO = 1.02
+"""Ratio of the bounds of a bucket; gives a resolution of 1%."""
+MIN_DURATION_S = 1e-6
+_LOG_BUCKET_RATIO = math.log(BUCKET_RATIO)
 
 
 @dataclasses.dataclass(slots=True)
 class Histogram:
-    """Durations in seconds, by bucket."""
+    """Counts of durations, by bucket."""
 
     buckets: dict[int, int] = dataclasses.field(default_factory=dict)
     count: int = 0
@@ -19,8 +19,11 @@
     highest_s: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Count a duration; below a microsecond counts as one."""
-        index = int(math.log(max(seconds, LOWEST_S) / LOWEST_S) / _LOG_GROWTH)
+        """Count a duration; the first bucket includes all shorter ones."""
+        index = int(
+            math.log(max(seconds, MIN_DURATION_S) / MIN_DURATION_S)
+            / _LOG_BUCKET_RATIO
+        )
         self.buckets[index] = self.buckets.get(index, 0) + 1
         self.count += 1
         self.total_s += seconds
@@ -34,17 +37,17 @@
         self.highest_s = max(self.highest_s, other.highest_s)
 
     def quantile(self, share: float) -> float:
-        """Return the middle of the bucket that holds the quantile.
+        """Return the geometric middle of the bucket that holds the quantile.
 
         :param share: between 0 and 1; 0.99 for the 99th percentile.
         """
         if not self.count:
             return 0.0
         rank = max(1, math.ceil(share * self.count))
-        seen = 0
+        cumulative = 0
         for index in sorted(self.buckets):
-            seen += self.buckets[index]
-            if seen >= rank:
-                middle = LOWEST_S * math.pow(GROWTH, index + 0.5)
+            cumulative += self.buckets[index]
+            if cumulative >= rank:
+                middle = MIN_DURATION_S * math.pow(BUCKET_RATIO, index + 0.5)
                 return min(middle, self.highest_s)
         return self.highest_s
--- a/src/peridotpost/load/report.py
+++ b/src/peridotpost/load/report.py
@@ -1,4 +1,4 @@
-"""A run's result: as data, as JSON, as text, and beside another."""
+"""Result of a load run, its output as JSON and text, and comparison."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -7,17 +7,21 @@
 from peridotpost.load import histogram
 
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
-COLUMN = 34
+NAME_WIDTH = 34
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What the callers of one run received.
+    """Outcomes of one run, as its callers saw them.
 
-    :param outcomes: by status and the system's own word on the outcome.
+    :param outcomes: latencies by HTTP status and outcome header.
+    :param runs_checked: whether the counts below were compared with those
+        of the targets.
     :param doubled_runs: keys that targets ran more than once.
-    :param false_not_run: keys that ran though their caller was told not.
-    :param answered_unrun: keys answered that no asked target ran.
+    :param false_not_run: keys that ran although the answer said that they
+        had not.
+    :param answered_unrun: keys that were answered but that none of the
+        given targets ran.
     """
 
     plan: dict[str, Any]
@@ -33,72 +37,73 @@
     answered_unrun: int = 0
 
     def note(self, outcome: str, seconds: float) -> None:
-        found = self.outcomes.setdefault(outcome, histogram.Histogram())
-        found.add(seconds)
+        latencies = self.outcomes.setdefault(outcome, histogram.Histogram())
+        latencies.add(seconds)
 
     def to_json(self) -> dict[str, Any]:
-        """Return plain data; times in milliseconds."""
-        whole = histogram.Histogram()
-        for one in self.outcomes.values():
-            whole.merge(one)
-        shown: dict[str, Any] = {
+        """Return data for JSON, with times in milliseconds."""
+        total = histogram.Histogram()
+        for latencies in self.outcomes.values():
+            total.merge(latencies)
+        document: dict[str, Any] = {
             'plan': self.plan,
             'sent': self.sent,
             'seconds': round(self.seconds, 3),
             'connections_opened': self.connections_opened,
-            'all': _latencies(whole),
+            'all': _latencies(total),
             'outcomes': {
-                name: _latencies(one)
-                for name, one in sorted(self.outcomes.items())
+                name: _latencies(latencies)
+                for name, latencies in sorted(self.outcomes.items())
             },
         }
         if self.runs_checked:
-            shown['runs'] = {
+            document['runs'] = {
                 'doubled_runs': self.doubled_runs,
                 'false_not_run': self.false_not_run,
                 'answered_unrun': self.answered_unrun,
             }
-        return shown
+        return document
 
 
-def _latencies(one: histogram.Histogram) -> dict[str, float]:
-    shown: dict[str, float] = {'count': one.count}
+def _latencies(latencies: histogram.Histogram) -> dict[str, float]:
+    summary: dict[str, float] = {'count': latencies.count}
     for share in QUANTILES:
         name = f'p{share * 100:g}_ms'
-        shown[name] = round(one.quantile(share) * 1000, 3)
-    shown['highest_ms'] = round(one.highest_s * 1000, 3)
-    return shown
+        summary[name] = round(latencies.quantile(share) * 1000, 3)
+    summary['highest_ms'] = round(latencies.highest_s * 1000, 3)
+    return summary
 
 
-def rows(shown: dict[str, Any]) -> dict[str, float]:
-    """Flatten a JSON result into named figures, leaving out its plan."""
+def flatten(document: dict[str, Any]) -> dict[str, float]:
+    """Flatten a JSON result into values by name, without the plan."""
     flat: dict[str, float] = {}
-    for name, value in shown.items():
+    for name, value in document.items():
         if name == 'plan':
             continue
         if isinstance(value, dict):
-            for inner, figure in rows(value).items():
+            for inner, figure in flatten(value).items():
                 flat[f'{name}: {inner}'] = figure
         else:
             flat[name] = value
     return flat
 
 
-def show(shown: dict[str, Any]) -> str:
-    """Return a result as lines of text."""
+def format_result(document: dict[str, Any]) -> str:
+    """Format a result as lines of text."""
     return '\n'.join(
-        f'{name:<{COLUMN}} {value:>12g}' for name, value in rows(shown).items()
+        f'{name:<{NAME_WIDTH}} {value:>12g}'
+        for name, value in flatten(document).items()
     )
 
 
 def compare(first: dict[str, Any], second: dict[str, Any]) -> str:
-    """Return two results side by side, with the ratio of each figure."""
-    left, right = rows(first), rows(second)
-    lines = [f'{"":<{COLUMN}} {"first":>12} {"second":>12} {"ratio":>8}']
-    for name in _ordered(left, right):
+    """Format two results side by side, with the ratio of each value."""
+    left, right = flatten(first), flatten(second)
+    lines = [f'{"":<{NAME_WIDTH}} {"first":>12} {"second":>12} {"ratio":>8}']
+    for name in _unique_names(left, right):
         a, b = left.get(name), right.get(name)
         ratio = f'{b / a:>8.3f}' if a and b is not None else f'{"-":>8}'
-        lines.append(f'{name:<{COLUMN}} {_cell(a)} {_cell(b)} {ratio}')
+        lines.append(f'{name:<{NAME_WIDTH}} {_cell(a)} {_cell(b)} {ratio}')
     return '\n'.join(lines)
 
 
@@ -106,5 +111,5 @@
     return f'{"-":>12}' if value is None else f'{value:>12g}'
 
 
-def _ordered(*groups: Iterable[str]) -> list[str]:
+def _unique_names(*groups: Iterable[str]) -> list[str]:
     return list(dict.fromkeys(name for group in groups for name in group))
--- a/src/peridotpost/load/runner.py
+++ b/src/peridotpost/load/runner.py
@@ -1,4 +1,4 @@
-"""Sends calls at their times and counts what callers receive."""
+"""Sends calls at scheduled times and counts their outcomes."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,17 +18,17 @@
 
 OUTCOME_HEADER = 'Peridot-Outcome'
 NOT_RUN = 'not-run'
-PROGRESS_S = 5.0
+PROGRESS_INTERVAL_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What to send.
+    """Parameters of a load run.
 
-    :param daemons: addresses with ports, used in turn.
-    :param services: names for the Host header, used in turn.
-    :param keyed: give each call an idempotency key of its own.
-    :param timeout_s: after which a caller gives up.
+    :param daemons: ``ADDRESS:PORT`` of each daemon, used in turn.
+    :param services: values of the Host header, used in turn.
+    :param keyed: whether each call gets a unique idempotency key.
+    :param timeout_s: time after which a call counts as timed out.
     """
 
     daemons: tuple[str, ...]
@@ -46,7 +46,7 @@
 
 
 class Runner:
-    """One run of a plan."""
+    """Executes one plan."""
 
     def __init__(
         self, plan: Plan, progress: Callable[[str], None] | None = None
@@ -54,7 +54,7 @@
         self.plan = plan
         self.progress = progress
         self.result = report.Result(plan=dataclasses.asdict(plan))
-        self.randomness = random.Random(plan.seed)
+        self.rng = random.Random(plan.seed)
         self.outcome_by_key: dict[str, str] = {}
         self.clients = [
             client.Client(address, int(port))
@@ -64,79 +64,81 @@
         ]
 
     async def run(self) -> report.Result:
-        """Send every call; return when the last one has its outcome."""
+        """Send all calls; return when each has its outcome."""
         plan = self.plan
-        turns = zip(
-            arrivals.arrivals(
-                plan.pattern, plan.rate, plan.seconds, self.randomness
-            ),
+        schedule = zip(
+            arrivals.arrivals(plan.pattern, plan.rate, plan.seconds, self.rng),
             itertools.cycle(self.clients),
             itertools.cycle(plan.services),
         )
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        told = 0.0
+        started = loop.time()
+        last_report_s = 0.0
         pending: set[asyncio.Future[None]] = set()
-        for at, one, service in turns:
-            due = began + at
+        for arrival_s, connection_pool, service in schedule:
+            due = started + arrival_s
             delay = due - loop.time()
             if delay > 0:
                 await asyncio.sleep(delay)
             elif self.result.sent % 64 == 0:
                 await asyncio.sleep(0)
-            task = asyncio.ensure_future(self._call(one, service, due))
+            task = asyncio.ensure_future(
+                self._call(connection_pool, service, due)
+            )
             pending.add(task)
             task.add_done_callback(pending.discard)
             self.result.sent += 1
-            if at - told >= PROGRESS_S:
-                told = at
-                self._tell(at, len(pending))
+            if arrival_s - last_report_s >= PROGRESS_INTERVAL_S:
+                last_report_s = arrival_s
+                self._report_progress(arrival_s, len(pending))
         while pending:
             await asyncio.wait(set(pending))
-        self.result.seconds = loop.time() - began
-        self.result.connections_opened = sum(c.opened for c in self.clients)
-        for one in self.clients:
-            one.close()
+        self.result.seconds = loop.time() - started
+        self.result.connections_opened = sum(
+            pool.opened for pool in self.clients
+        )
+        for connection_pool in self.clients:
+            connection_pool.close()
         return self.result
 
-    def _tell(self, at: float, pending: int) -> None:
+    def _report_progress(self, arrival_s: float, pending: int) -> None:
         if self.progress is not None:
             self.progress(
-                f'{at:.0f} of {self.plan.seconds:.0f} s: '
+                f'{arrival_s:.0f} of {self.plan.seconds:.0f} s: '
                 f'{self.result.sent} sent, {pending} without an outcome'
             )
 
     async def _call(
-        self, one: client.Client, service: str, due: float
+        self, connection_pool: client.Client, service: str, due: float
     ) -> None:
-        """Make one call; its time counts from when it was due.
+        """Make one call and record its latency from its scheduled time.
 
-        Counting from the actual sending would leave out the wait of calls
-        behind a stall ("coordinated omission").
+        Measuring from the actual send time would leave out the delay of
+        calls behind a stall ("coordinated omission").
         """
         plan = self.plan
         key = ''
         headers = (('Host', service), *plan.headers)
         if plan.keyed:
-            key = str(uuid.UUID(int=self.randomness.getrandbits(128)))
+            key = str(uuid.UUID(int=self.rng.getrandbits(128)))
             headers = (*headers, ('Idempotency-Key', key))
         request = client.Request(
             plan.method, plan.path, headers, b'x' * plan.body_bytes
         )
-        outcome = await self._outcome(one, request)
-        spent = asyncio.get_running_loop().time() - due
-        self.result.note(outcome, spent)
+        outcome = await self._send(connection_pool, request)
+        latency_s = asyncio.get_running_loop().time() - due
+        self.result.note(outcome, latency_s)
         if key:
             self.outcome_by_key[key] = outcome
 
-    async def _outcome(
-        self, one: client.Client, request: client.Request
+    async def _send(
+        self, connection_pool: client.Client, request: client.Request
     ) -> str:
         try:
-            received = await asyncio.wait_for(
-                one.send(request), self.plan.timeout_s
+            response = await asyncio.wait_for(
+                connection_pool.send(request), self.plan.timeout_s
             )
-        except client.AnswerMissing:
+        except client.IncompleteResponse:
             return 'lost'
         except TimeoutError:
             return 'timeout'
@@ -144,13 +146,13 @@
             return 'no-connection'
         except httputil.HTTPInputError:
             return 'malformed'
-        word = received.headers.get(OUTCOME_HEADER, 'answered')
-        return f'{received.status} {word}'
+        outcome = response.headers.get(OUTCOME_HEADER, 'answered')
+        return f'{response.status} {outcome}'
 
     async def check_runs(self, targets: Sequence[str]) -> None:
-        """Compare what callers were told with the targets' own counts.
+        """Compare the outcomes of the calls with the targets' run counts.
 
-        :param targets: base addresses of stand-in targets.
+        :param targets: base URLs of stand-in targets.
         """
         runs: dict[str, int] = {}
         reader = httpclient.AsyncHTTPClient(force_instance=True)
--- a/testing/test_load.py
+++ b/testing/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: what it counts must be what callers received."""
+"""The load generator: its counts must match what callers received."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -32,26 +32,26 @@
     ),
     strategies.sampled_from([0.0, 0.5, 0.9, 0.99, 1.0]),
 )
-def test_quantile_is_told_within_its_bucket(
+def test_quantile_is_accurate_to_its_bucket(
     sample: list[float], share: float
 ) -> None:
-    one = histogram.Histogram()
+    durations = histogram.Histogram()
     for seconds in sample:
-        one.add(seconds)
+        durations.add(seconds)
     ordered = sorted(sample)
     rank = max(1, -(-int(share * 1000) * len(sample) // 1000))
     exact = ordered[rank - 1]
-    assert one.quantile(share) == pytest.approx(exact, rel=0.021)
+    assert durations.quantile(share) == pytest.approx(exact, rel=0.021)
 
 
-def test_merged_histogram_holds_both() -> None:
-    one, other = histogram.Histogram(), histogram.Histogram()
-    one.add(0.001)
-    other.add(1.0)
-    one.merge(other)
-    assert one.count == 2
-    assert one.highest_s == 1.0
-    assert one.quantile(0.5) == pytest.approx(0.001, rel=0.02)
+def test_merged_histogram_counts_both() -> None:
+    first, second = histogram.Histogram(), histogram.Histogram()
+    first.add(0.001)
+    second.add(1.0)
+    first.merge(second)
+    assert first.count == 2
+    assert first.highest_s == 1.0
+    assert first.quantile(0.5) == pytest.approx(0.001, rel=0.02)
 
 
 @pytest.mark.parametrize('pattern', list(arrivals.Pattern))
@@ -66,26 +66,28 @@
     assert (times(1) == times(2)) is same
 
 
-class Scripted(web.RequestHandler):
-    """Answers as the path says."""
+class ScriptedHandler(web.RequestHandler):
+    """Answers as the path requests."""
 
-    async def get(self, what: str) -> None:
-        if what == 'cut':
+    async def get(self, page: str) -> None:
+        if page == 'cut':
             self.detach().close()
             raise web.Finish
-        if what == 'not-run':
+        if page == 'not-run':
             self.set_status(503)
             self.set_header('Peridot-Outcome', 'not-run')
-        if what == 'never':
+        if page == 'never':
             await asyncio.Event().wait()
-        if what == 'close':
+        if page == 'close':
             self.set_header('Connection', 'close')
         self.finish(b'x' * 10)
 
 
 @contextlib.asynccontextmanager
-async def scripted() -> AsyncIterator[int]:
-    server = httpserver.HTTPServer(web.Application([(r'/(.*)', Scripted)]))
+async def scripted_server() -> AsyncIterator[int]:
+    server = httpserver.HTTPServer(
+        web.Application([(r'/(.*)', ScriptedHandler)])
+    )
     sockets = netutil.bind_sockets(0, '127.0.0.1')
     server.add_sockets(sockets)
     try:
@@ -108,7 +110,7 @@
 async def test_each_call_is_counted_with_its_outcome(
     path: str, outcome: str
 ) -> None:
-    async with scripted() as port:
+    async with scripted_server() as port:
         plan = runner.Plan(
             daemons=(f'127.0.0.1:{port}',),
             services=('any',),
@@ -131,32 +133,32 @@
     assert set(result.outcomes) == {'no-connection'}
 
 
-async def test_connection_is_kept_for_the_next_call() -> None:
-    async with scripted() as port:
-        one = client.Client('127.0.0.1', port)
+async def test_connection_is_reused_for_the_next_call() -> None:
+    async with scripted_server() as port:
+        pool = client.Client('127.0.0.1', port)
         for path in ('/ok', '/ok', '/close', '/ok'):
             request = client.Request('GET', path, (('Host', 'any'),))
-            assert (await one.send(request)).size == 10
-        one.close()
-    assert one.opened == 2
+            assert (await pool.send(request)).size == 10
+        pool.close()
+    assert pool.opened == 2
 
 
-async def test_slow_target_shows_in_later_calls_as_well() -> None:
-    """Calls that arrive during a stall are sent and counted too.
+async def test_calls_during_a_stall_are_sent_and_counted() -> None:
+    """A closed loop, which waits for each answer, would hide a stall.
 
-    A tool that sends the next call only after the last answer would count
-    one slow call, and report a system that is better than its callers see.
+    It would count one slow call and report lower latencies than callers of
+    an open loop see.
     """
     settings = targets.TargetSettings(
         service='s', name='t', slots=1000, work_s=0.2
     )
-    one = targets.Target(settings)
-    async with targets.serving(one) as port:
+    target = targets.Target(settings)
+    async with targets.serving(target) as port:
         plan = runner.Plan(
             (f'127.0.0.1:{port}',), ('s',), rate=100, seconds=0.3
         )
         result = await runner.Runner(plan).run()
-    assert one.counts['ran'] == result.sent
+    assert target.counts['ran'] == result.sent
     assert result.connections_opened > 5
 
 
@@ -167,20 +169,20 @@
         pytest.param(2, '200 answered', (1, 0, 0), id='doubled'),
         pytest.param(1, '503 not-run', (0, 1, 0), id='ran-though-not-run'),
         pytest.param(0, '503 not-run', (0, 0, 0), id='not-run'),
-        pytest.param(0, '200 answered', (0, 0, 1), id='answered-by-nobody'),
+        pytest.param(0, '200 answered', (0, 0, 1), id='answered-without-run'),
     ],
 )
 async def test_outcomes_are_checked_against_the_runs_of_targets(
     ran: int, outcome: str, expected: tuple[int, int, int]
 ) -> None:
-    one = targets.Target(targets.TargetSettings(service='s', name='t'))
-    one.ran['k'] = ran
-    async with targets.serving(one) as port:
+    target = targets.Target(targets.TargetSettings(service='s', name='t'))
+    target.ran['k'] = ran
+    async with targets.serving(target) as port:
         plan = runner.Plan((f'127.0.0.1:{port}',), ('s',))
-        sender = runner.Runner(plan)
-        sender.outcome_by_key['k'] = outcome
-        await sender.check_runs([f'http://127.0.0.1:{port}'])
-    result = sender.result
+        load_runner = runner.Runner(plan)
+        load_runner.outcome_by_key['k'] = outcome
+        await load_runner.check_runs([f'http://127.0.0.1:{port}'])
+    result = load_runner.result
     assert expected == (
         result.doubled_runs,
         result.false_not_run,
@@ -189,12 +191,12 @@
 
 
 async def test_keyed_calls_run_once_each() -> None:
-    # With a slot for each call: on a busy machine all may run at once, and
-    # a target that is full turns the rest away.
-    one = targets.Target(
+    # One slot per call: on a busy machine all calls may run at once, and a
+    # target without free slots would refuse some of them.
+    target = targets.Target(
         targets.TargetSettings(service='s', name='t', slots=100)
     )
-    async with targets.serving(one) as port:
+    async with targets.serving(target) as port:
         plan = runner.Plan(
             (f'127.0.0.1:{port}',),
             ('s',),
@@ -204,10 +206,10 @@
             rate=200,
             seconds=0.2,
         )
-        sender = runner.Runner(plan)
-        result = await sender.run()
-        await sender.check_runs([f'http://127.0.0.1:{port}'])
-    assert len(one.ran) == result.sent
+        load_runner = runner.Runner(plan)
+        result = await load_runner.run()
+        await load_runner.check_runs([f'http://127.0.0.1:{port}'])
+    assert len(target.ran) == result.sent
     assert result.to_json()['runs'] == {
         'doubled_runs': 0,
         'false_not_run': 0,
@@ -215,7 +217,7 @@
     }
 
 
-def written(path: pathlib.Path, name: str, seconds: float) -> str:
+def write_result(path: pathlib.Path, name: str, seconds: float) -> str:
     result = report.Result(plan={'rate': 1})
     result.note('200 answered', seconds)
     file = path / name
@@ -227,11 +229,13 @@
     return click_testing.CliRunner().invoke(load.main, list(arguments))
 
 
-def test_compare_shows_both_and_their_ratio(tmp_path: pathlib.Path) -> None:
+def test_compare_prints_both_values_and_their_ratio(
+    tmp_path: pathlib.Path,
+) -> None:
     done = invoke(
         'compare',
-        written(tmp_path, 'a.json', 0.01),
-        written(tmp_path, 'b.json', 0.02),
+        write_result(tmp_path, 'a.json', 0.01),
+        write_result(tmp_path, 'b.json', 0.02),
     )
     assert done.exit_code == 0
     line = next(
@@ -267,7 +271,7 @@
         ),
     ],
 )
-def test_wrong_arguments_say_what_to_do(
+def test_invalid_arguments_are_explained(
     arguments: tuple[str, ...], message: str
 ) -> None:
     done = invoke(*arguments)
