--- a/src/peridotpost/cli/__init__.py
+++ b/src/peridotpost/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs."""
+"""Entry points of the command-line programs."""
--- a/src/peridotpost/cli/common.py
+++ b/src/peridotpost/cli/common.py
@@ -1,4 +1,4 @@
-"""What the programs share: running a loop, exit codes and errors."""
+"""Shared by the programs: event loop, exit codes and error output."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -22,31 +22,31 @@
 
 
 def run(main: Callable[[], Coroutine[Any, Any, int]]) -> None:
-    """Run `main` on one loop and exit with what it returns."""
+    """Run `main` in an event loop and exit with the code it returns."""
     try:
-        code = asyncio.run(main())
+        exit_code = asyncio.run(main())
     except document.DocumentError as error:
         for problem in error.problems:
             click.echo(f'error: {problem}', err=True)
-        code = EXIT_USAGE
+        exit_code = EXIT_USAGE
     except errors.PeridotError as error:
         click.echo(f'error: {error}', err=True)
-        code = EXIT_FAILED
+        exit_code = EXIT_FAILED
     except OSError as error:
         click.echo(f'error: {error}', err=True)
-        code = EXIT_FAILED
-    sys.exit(code)
+        exit_code = EXIT_FAILED
+    sys.exit(exit_code)
 
 
 @contextlib.asynccontextmanager
 async def stop_signal() -> AsyncIterator[asyncio.Event]:
-    """Yield an event that SIGTERM or SIGINT sets."""
+    """Yield an event that is set on SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     try:
         yield stop
     finally:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.remove_signal_handler(number)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.remove_signal_handler(signal_number)
--- a/src/peridotpost/cli/operator.py
+++ b/src/peridotpost/cli/operator.py
@@ -1,4 +1,4 @@
-"""What ``peridotctl`` does, apart from its command line."""
+"""Operations of ``peridotctl``, independent of its command line."""
 
 import asyncio
 import contextlib
@@ -20,14 +20,14 @@
 from peridotpost.store import store
 from peridotpost.store import versions
 
-TIMEOUT_S = 2.0
+PAGE_TIMEOUT_S = 2.0
 MAX_PAGE_BYTES = 64 * 1024 * 1024
-DAEMONS_AT_ONCE = 50
+MAX_CONCURRENT_REQUESTS = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asked:
-    """A daemon's page, or why there is none."""
+    """A daemon's admin page, or the error of the request."""
 
     address: str
     page: pydantic.BaseModel | None
@@ -38,17 +38,17 @@
     return etcd.EtcdStore(endpoints, timeout_s, timeout_s, counters.Counters())
 
 
-def opened_store(
+def store_session(
     endpoints: tuple[str, ...], timeout_s: float
 ) -> contextlib.AbstractContextManager[etcd.EtcdStore]:
-    """Own a store for one command."""
+    """Open a store for the duration of one command."""
     return contextlib.closing(open_store(endpoints, timeout_s))
 
 
 def read_file(file: pathlib.Path) -> str:
-    """Read a text.
+    """Read a text file.
 
-    :raises document.DocumentError: it cannot be read.
+    :raises document.DocumentError: the file cannot be read.
     """
     try:
         return file.read_text()
@@ -57,21 +57,21 @@
         raise document.DocumentError([problem]) from error
 
 
-def text_for(mesh: str, file: pathlib.Path) -> str:
-    """Read and check a text that is to be one of `mesh`.
+def read_mesh_text(mesh: str, file: pathlib.Path) -> str:
+    """Read and validate a text that must be of `mesh`.
 
-    :raises document.DocumentError: it is wrong, or of another mesh.
+    :raises document.DocumentError: it is invalid, or of another mesh.
     """
     text = read_file(file)
-    named = mesh_of(text, str(file)).mesh
-    if named != mesh:
-        message = f'is {named!r}, not {mesh!r}; give its mesh with --mesh'
+    text_mesh = mesh_of(text, str(file)).mesh
+    if text_mesh != mesh:
+        message = f'is {text_mesh!r}, not {mesh!r}; give its mesh with --mesh'
         problem = document.Problem(str(file), 'mesh', 0, message)
         raise document.DocumentError([problem])
     return text
 
 
-def difference(old: str, new: str, old_name: str, new_name: str) -> str:
+def unified_diff(old: str, new: str, old_name: str, new_name: str) -> str:
     """Return a unified diff of two texts."""
     return ''.join(
         difflib.unified_diff(
@@ -83,10 +83,10 @@
     )
 
 
-async def kept_version(
+async def find_version(
     platform: store.Store, mesh: str, revision: int
 ) -> result.Result[versions.Accepted, errors.PeridotError]:
-    """Return the head, or with `revision` that kept version."""
+    """Return the version in force, or that of `revision` if it is not 0."""
     head = await versions.read_head(platform, mesh)
     if isinstance(head, result.Err):
         return result.Err(head.err_value)
@@ -95,8 +95,10 @@
         history = await versions.read_history(platform, mesh)
         if isinstance(history, result.Err):
             return result.Err(history.err_value)
-        kept = {one.revision: one for one in history.ok_value}
-        found = kept.get(revision)
+        by_revision = {
+            version.revision: version for version in history.ok_value
+        }
+        found = by_revision.get(revision)
     if found is not None:
         return result.Ok(found)
     return result.Err(
@@ -111,7 +113,7 @@
 def propose(
     text: str, author: str, note: str, base_revision: int, write_id: str
 ) -> versions.Accepted:
-    """Return a version that is to be accepted."""
+    """Create a version to be accepted; generate a write ID if it is empty."""
     return versions.Accepted(
         revision=0,
         number=0,
@@ -125,26 +127,29 @@
 
 
 def mesh_of(text: str, file: str) -> text_border.MeshText:
-    """Check a text; see ``text.read_text`` for what it raises."""
+    """Parse and validate a text; raises what ``text.read_text`` does."""
     return text_border.read_text(text, file)
 
 
 async def ask_all(
     addresses: tuple[str, ...], path: str, model: type[pydantic.BaseModel]
 ) -> list[Asked]:
-    """Fetch a page of every daemon, some at a time."""
+    """Fetch a page from each daemon, with limited concurrency."""
     client = httpclient.AsyncHTTPClient(
-        force_instance=True, max_clients=DAEMONS_AT_ONCE
+        force_instance=True, max_clients=MAX_CONCURRENT_REQUESTS
     )
     try:
         return await asyncio.gather(
-            *(_ask(client, one, path, model) for one in addresses)
+            *(
+                _fetch_page(client, address, path, model)
+                for address in addresses
+            )
         )
     finally:
         client.close()
 
 
-async def _ask(
+async def _fetch_page(
     client: httpclient.AsyncHTTPClient,
     address: str,
     path: str,
@@ -152,7 +157,7 @@
 ) -> Asked:
     try:
         answer = await client.fetch(
-            f'http://{address}{path}', request_timeout=TIMEOUT_S
+            f'http://{address}{path}', request_timeout=PAGE_TIMEOUT_S
         )
         return Asked(address, model.model_validate_json(answer.body))
     except (httpclient.HTTPError, OSError, ValueError) as error:
--- a/src/peridotpost/cli/peridotctl.py
+++ b/src/peridotpost/cli/peridotctl.py
@@ -1,4 +1,4 @@
-"""``peridotctl``: the operators' command line."""
+"""``peridotctl``: the command line for operators."""
 
 import click
 
@@ -12,12 +12,12 @@
 
 @click.group(
     cls=output.JsonGroup,
-    epilog='Exit codes: 0 done, 1 failed (nothing was written), 2 wrong text '
-    'or usage, 3 refused (lost a race, or not in force), 4 undecided (the '
-    'store is silent; the same accept may be repeated with its write id).',
+    epilog='Exit codes: 0 done, 1 failed (nothing was written), 2 invalid '
+    'text or usage, 3 refused (lost a race, or not in force), 4 undecided '
+    '(the store did not answer; repeat the accept with the same write ID).',
 )
 def main() -> None:
-    """Check, accept and follow the text that drives the mesh."""
+    """Check, accept and monitor the configuration text of a mesh."""
 
 
 for command in (
--- a/src/peridotpost/cli/peridotd.py
+++ b/src/peridotpost/cli/peridotd.py
@@ -1,4 +1,4 @@
-"""``peridotd``: the one small process on each target host."""
+"""``peridotd``: the daemon on each target host."""
 
 import asyncio
 import contextlib
@@ -23,33 +23,33 @@
     type=click.Path(path_type=pathlib.Path),
     help='JSON file with this host, its availability zone and its ports.',
 )
-@click.option('--check', is_flag=True, help='Check the settings and end.')
+@click.option('--check', is_flag=True, help='Check the settings and exit.')
 def main(settings_path: pathlib.Path, check: bool) -> None:
-    """Serve this host: callers' ingress, guard of its targets, member."""
+    """Serve this host: ingress for callers, guard of targets, mesh member."""
     common.run(lambda: _serve(settings_path, check))
 
 
 async def _serve(settings_path: pathlib.Path, check: bool) -> int:
-    given = settings_border.load_settings(settings_path)
+    settings = settings_border.load_settings(settings_path)
     if check:
         click.echo(f'{settings_path}: ok')
         return common.EXIT_OK
-    if given.log_level != 'off':
+    if settings.log_level != 'off':
         logs.log_to()
     async with common.stop_signal() as stop:
-        await _run(assembly.Daemon(given), stop)
+        await _run(assembly.Daemon(settings), stop)
     return common.EXIT_OK
 
 
-async def _run(one: assembly.Daemon, stop: asyncio.Event) -> None:
-    """Serve until `stop`, which may come before the start is over.
+async def _run(daemon: assembly.Daemon, stop: asyncio.Event) -> None:
+    """Serve until `stop` is set, which may happen during startup.
 
-    A daemon that finds neither the store nor a peer waits for them; it has
-    to end when it is told to all the same.
+    A daemon that can reach neither the store nor a peer waits in startup;
+    it must still stop on SIGTERM.
     """
     async with contextlib.AsyncExitStack() as stack:
         starting = asyncio.ensure_future(
-            stack.enter_async_context(one.running())
+            stack.enter_async_context(daemon.running())
         )
         stopping = asyncio.ensure_future(stop.wait())
         await asyncio.wait(
@@ -61,7 +61,7 @@
         try:
             await starting
             await stopping
-            await one.leave()
+            await daemon.leave()
         finally:
             stopping.cancel()
 
--- a/src/peridotpost/cli/platform.py
+++ b/src/peridotpost/cli/platform.py
@@ -7,11 +7,13 @@
 
 
 @click.command(epilog='Example: peridot-platform --port 2379')
-@click.option('--port', default=2379, show_default=True, help='0: any free.')
-@click.option('--writes-per-s', default=0, help='Quota; 0 for none.')
-@click.option('--reads-per-s', default=0, help='Quota; 0 for none.')
+@click.option(
+    '--port', default=2379, show_default=True, help='0 selects a free port.'
+)
+@click.option('--writes-per-s', default=0, help='Quota; 0 for no limit.')
+@click.option('--reads-per-s', default=0, help='Quota; 0 for no limit.')
 def main(port: int, writes_per_s: int, reads_per_s: int) -> None:
-    """Serve a key-value service with faults on command, for tests."""
+    """Serve a key-value store with fault injection, for tests."""
     common.run(lambda: _serve(port, writes_per_s, reads_per_s))
 
 
--- a/src/peridotpost/cli/proxy.py
+++ b/src/peridotpost/cli/proxy.py
@@ -1,15 +1,15 @@
-"""``peridot-proxy``: the program's start.
+"""``peridot-proxy``: entry point.
 
-Loading the rest takes a quarter of a second.  A reload that is asked for in
-that time would end the process, as SIGHUP does where nothing handles it;
-the settings are read after it anyway.
+Importing the other modules takes a quarter of a second.  A SIGHUP for a
+reload during that time would end the process, which is the signal's default
+action.  Ignoring it loses nothing, as the settings are read afterwards.
 """
 
 import signal
 
 
 def main() -> None:
-    """Ignore SIGHUP until it is handled, then load and run the command."""
+    """Ignore SIGHUP until a handler is set; import and run the command."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from peridotpost.cli import proxy_command
 
--- a/src/peridotpost/cli/proxy_command.py
+++ b/src/peridotpost/cli/proxy_command.py
@@ -1,4 +1,4 @@
-"""The command of ``peridot-proxy``: the process beside each target."""
+"""Command of ``peridot-proxy``, the sidecar process of each target."""
 
 import asyncio
 import gc
@@ -16,10 +16,10 @@
 from peridotpost.platform import assembly
 
 SETTINGS_VARIABLE = 'PERIDOTPOST_CONFIG'
-EXIT_BAD_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 GC_THRESHOLD = 50_000
-"""Allocations between collections; a call makes some hundred objects, all
-freed by their reference counts."""
+"""Net allocations between collections.  A call creates some hundred
+objects, all of which are freed by reference counting."""
 
 
 @click.command(epilog='Example: peridot-proxy --settings proxy.json')
@@ -31,14 +31,14 @@
     type=click.Path(path_type=pathlib.Path),
     help='JSON file with this host, its addresses and its target.',
 )
-@click.option('--check', is_flag=True, help='Check the settings and end.')
+@click.option('--check', is_flag=True, help='Check the settings and exit.')
 def main(path: pathlib.Path, check: bool) -> None:
-    """Serve this host: callers' ingress and guard of its target."""
+    """Serve this host: ingress for callers and guard of its target."""
     try:
         settings = border.load(path)
     except border.BadSettings as error:
         click.echo(str(error), err=True)
-        sys.exit(EXIT_BAD_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     if check:
         click.echo(f'{path}: ok')
         return
@@ -47,8 +47,8 @@
     gc.set_threshold(GC_THRESHOLD)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_serve(path, settings))
-    # Nothing is left to clean up; interpreter teardown would only delay
-    # the restart.
+    # Skip interpreter teardown: nothing is left to clean up, and it would
+    # delay a restart.
     sys.stdout.flush()
     os._exit(0)
 
@@ -62,20 +62,20 @@
     loop.add_signal_handler(signal.SIGHUP, _reload, path, settings, log)
     log.state('start', pid=os.getpid(), zone=settings.availability_zone)
     with assembly.adapter_for(settings) as adapter:
-        one = daemon.ProxyDaemon(settings, adapter, log)
-        async with one.running():
+        proxy_daemon = daemon.ProxyDaemon(settings, adapter, log)
+        async with proxy_daemon.running():
             await stop.wait()
-            await one.leave()
+            await proxy_daemon.leave()
     log.state('stop')
 
 
 def _reload(
     path: pathlib.Path, running: border.ProxySettings, log: lines.LineLog
 ) -> None:
-    """Check settings that changed; addresses hold until the next start."""
+    """Validate changed settings; they take effect at the next start."""
     try:
-        found = border.load(path)
+        new_settings = border.load(path)
     except border.BadSettings as error:
         log.state('settings', to='rejected', error=str(error))
         return
-    log.state('settings', to='read', changed=found != running)
+    log.state('settings', to='read', changed=new_settings != running)
--- a/src/peridotpost/cli/subcommands/__init__.py
+++ b/src/peridotpost/cli/subcommands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of ``peridotctl``, a module for each group of them."""
+"""Commands of ``peridotctl``, grouped by module."""
--- a/src/peridotpost/cli/subcommands/acceptance.py
+++ b/src/peridotpost/cli/subcommands/acceptance.py
@@ -1,4 +1,4 @@
-"""Commands that put a version in force: accept and rollback."""
+"""Commands that write a new version: accept and rollback."""
 
 import asyncio
 import functools
@@ -42,19 +42,19 @@
     write_id: str,
     as_json: bool,
 ) -> None:
-    """Put FILE in force, unless another version came first."""
+    """Accept FILE as the new version, unless another was accepted first."""
 
     async def body() -> int:
-        text = operator.text_for(mesh, file)
-        with operator.opened_store(endpoints, timeout_s) as platform:
-            standing = await _standing(platform, mesh, base, as_json)
-            if isinstance(standing, result.Err):
-                return output.fail(as_json, standing.err_value)
+        text = operator.read_mesh_text(mesh, file)
+        with operator.store_session(endpoints, timeout_s) as platform:
+            base_revision = await _find_base(platform, mesh, base, as_json)
+            if isinstance(base_revision, result.Err):
+                return output.print_error(as_json, base_revision.err_value)
             proposed = operator.propose(
-                text, author, note, standing.ok_value, write_id
+                text, author, note, base_revision.ok_value, write_id
             )
             outcome = await versions.accept(platform, mesh, proposed, sleep)
-        return tell(outcome, proposed, as_json)
+        return report_outcome(outcome, proposed, as_json)
 
     output.run(body, as_json)
 
@@ -68,7 +68,7 @@
     'revision',
     required=True,
     type=click.IntRange(min=1),
-    help='The kept version whose text is to be in force again.',
+    help='Earlier version whose text is to be accepted again.',
 )
 @options.base_option
 @options.author_option
@@ -86,106 +86,106 @@
     write_id: str,
     as_json: bool,
 ) -> None:
-    """Accept the text of a kept version as a new version."""
+    """Accept the text of an earlier version as a new version."""
 
     async def body() -> int:
-        with operator.opened_store(endpoints, timeout_s) as platform:
-            found = await operator.kept_version(platform, mesh, revision)
+        with operator.store_session(endpoints, timeout_s) as platform:
+            found = await operator.find_version(platform, mesh, revision)
             if isinstance(found, result.Err):
-                return output.fail(as_json, found.err_value)
+                return output.print_error(as_json, found.err_value)
             text = found.ok_value.text
             operator.mesh_of(text, f'version {revision}')
-            standing = await _standing(platform, mesh, base, as_json)
-            if isinstance(standing, result.Err):
-                return output.fail(as_json, standing.err_value)
+            base_revision = await _find_base(platform, mesh, base, as_json)
+            if isinstance(base_revision, result.Err):
+                return output.print_error(as_json, base_revision.err_value)
             proposed = operator.propose(
                 text,
                 author,
                 note or f'rollback to version {revision}',
-                standing.ok_value,
+                base_revision.ok_value,
                 write_id,
             )
             outcome = await versions.accept(platform, mesh, proposed, sleep)
-        return tell(outcome, proposed, as_json)
+        return report_outcome(outcome, proposed, as_json)
 
     output.run(body, as_json)
 
 
-async def _standing(
+async def _find_base(
     platform: store.Store, mesh: str, base: int | None, as_json: bool
 ) -> result.Result[int, errors.StoreError]:
-    """Return `base`, or without it the revision in force.
+    """Return `base`, or the revision in force if none is given.
 
-    The one taken is told before anything is written: a text that was made
-    on an older version would else replace what came since in silence.
+    The revision is printed before anything is written: a text based on an
+    older version would otherwise silently revert the changes made since.
     """
     if base is not None:
         return result.Ok(base)
     head = await versions.read_head(platform, mesh)
-    taken = head.map(lambda found: found.revision if found else 0)
-    if isinstance(taken, result.Ok) and not as_json:
+    current_revision = head.map(lambda found: found.revision if found else 0)
+    if isinstance(current_revision, result.Ok) and not as_json:
         click.echo(
-            f'no --base given: takes version {taken.ok_value}, which is in '
-            'force now',
+            f'no --base given: takes version {current_revision.ok_value}, '
+            'which is in force now',
             err=True,
         )
-    return taken
+    return current_revision
 
 
 @functools.singledispatch
-def tell(
+def report_outcome(
     outcome: versions.Acceptance, proposed: versions.Accepted, as_json: bool
 ) -> int:
-    """Print how an accept ended; return the exit code."""
-    raise TypeError(f'{type(outcome).__name__} is no outcome of an accept')
+    """Print the outcome of an accept; return the exit code."""
+    raise TypeError(f'unknown outcome of an accept: {type(outcome).__name__}')
 
 
-@tell.register
+@report_outcome.register
 def _(
     outcome: versions.Won, proposed: versions.Accepted, as_json: bool
 ) -> int:
-    later = outcome.superseded_by
-    plain = (
+    newer = outcome.superseded_by
+    message = (
         f'accepted as version {outcome.revision}, '
         f'on top of version {proposed.base_revision}'
     )
-    if later is not None:
-        plain += (
-            f'; {later.author} has accepted version {later.revision} since'
+    if newer is not None:
+        message += (
+            f'; {newer.author} has accepted version {newer.revision} since'
         )
-    output.show(
+    output.print_result(
         as_json,
         {
             'outcome': 'accepted',
             'revision': outcome.revision,
             'base_revision': proposed.base_revision,
-            'superseded_by': later.revision if later else None,
+            'superseded_by': newer.revision if newer else None,
         },
-        plain,
+        message,
     )
     return common.EXIT_OK
 
 
-@tell.register
+@report_outcome.register
 def _(
     outcome: versions.LostRace, proposed: versions.Accepted, as_json: bool
 ) -> int:
     current = outcome.current
     if current is None:
-        output.show(
+        output.print_result(
             as_json,
             {'outcome': 'lost-race', 'current_revision': 0},
             f'not accepted: there is no version {proposed.base_revision}, '
             'nor any other; accept with --base 0',
         )
         return common.EXIT_REFUSED
-    lines = operator.difference(
+    lines = operator.unified_diff(
         current.text,
         proposed.text,
         f'version {current.revision} by {current.author}',
         'yours',
     )
-    output.show(
+    output.print_result(
         as_json,
         {
             'outcome': 'lost-race',
@@ -201,11 +201,11 @@
     return common.EXIT_REFUSED
 
 
-@tell.register
+@report_outcome.register
 def _(
     outcome: versions.NotWritten, proposed: versions.Accepted, as_json: bool
 ) -> int:
-    output.show(
+    output.print_result(
         as_json,
         {
             'outcome': 'not-written',
@@ -217,11 +217,11 @@
     return common.EXIT_FAILED
 
 
-@tell.register
+@report_outcome.register
 def _(
     outcome: versions.Undecided, proposed: versions.Accepted, as_json: bool
 ) -> int:
-    output.show(
+    output.print_result(
         as_json,
         {
             'outcome': 'undecided',
--- a/src/peridotpost/cli/subcommands/fleet.py
+++ b/src/peridotpost/cli/subcommands/fleet.py
@@ -1,4 +1,4 @@
-"""Commands that ask daemons: status, explain, timeline."""
+"""Commands that query daemons or their logs: status, explain, timeline."""
 
 import asyncio
 import collections
@@ -16,7 +16,7 @@
 from peridotpost.cli.subcommands import options
 from peridotpost.cli.subcommands import output
 
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 @click.command(
@@ -33,23 +33,25 @@
     within_s: float,
     as_json: bool,
 ) -> None:
-    """Show which version each daemon has in force."""
+    """Show the version in force on each daemon."""
 
     async def body() -> int:
-        until = time.monotonic() + within_s
+        deadline = time.monotonic() + within_s
         while True:
-            asked = await operator.ask_all(
+            replies = await operator.ask_all(
                 daemons, '/v1/status', models.DaemonStatus
             )
-            behind = [one for one in asked if _behind(one, wait_revision)]
+            behind = [
+                reply for reply in replies if _is_behind(reply, wait_revision)
+            ]
             waiting = behind and wait_revision
-            if not waiting or time.monotonic() > until:
+            if not waiting or time.monotonic() > deadline:
                 break
-            await asyncio.sleep(POLL_S)
-        output.show(
+            await asyncio.sleep(POLL_INTERVAL_S)
+        output.print_result(
             as_json,
-            {'daemons': [_status_row(one) for one in asked]},
-            '\n'.join(_status_line(one) for one in asked),
+            {'daemons': [_status_row(reply) for reply in replies]},
+            '\n'.join(_status_line(reply) for reply in replies),
         )
         if behind and wait_revision:
             return common.EXIT_REFUSED
@@ -58,29 +60,31 @@
     output.run(body, as_json)
 
 
-def _behind(asked: operator.Asked, revision: int) -> bool:
-    page = asked.page
+def _is_behind(reply: operator.Asked, revision: int) -> bool:
+    page = reply.page
     if not isinstance(page, models.DaemonStatus):
         return True
     return page.revision < revision
 
 
-def _status_row(asked: operator.Asked) -> dict[str, Any]:
-    if asked.page is None:
-        return {'address': asked.address, 'error': asked.error}
-    return {'address': asked.address, **asked.page.model_dump()}
+def _status_row(reply: operator.Asked) -> dict[str, Any]:
+    if reply.page is None:
+        return {'address': reply.address, 'error': reply.error}
+    return {'address': reply.address, **reply.page.model_dump()}
 
 
-def _status_line(asked: operator.Asked) -> str:
-    page = asked.page
+def _status_line(reply: operator.Asked) -> str:
+    page = reply.page
     if not isinstance(page, models.DaemonStatus):
-        return f'{asked.address}: {asked.error}'
-    live = collections.Counter(one.status for one in page.members)
+        return f'{reply.address}: {reply.error}'
+    status_counts = collections.Counter(
+        member.status for member in page.members
+    )
     role = 'relay' if page.relay else 'member'
     return (
         f'{page.host} ({page.availability_zone}) {page.stage} {role}: '
         f'version {page.revision}, {len(page.routes)} routes, '
-        f'{live["alive"]} of {len(page.members)} members alive, '
+        f'{status_counts["alive"]} of {len(page.members)} members alive, '
         f'{page.resident_kib // 1024} MB'
     )
 
@@ -90,7 +94,7 @@
     'peridotctl explain --logs logs/ 5f0c'
 )
 @click.argument('subject')
-@options.some_daemons_option
+@options.optional_daemons_option
 @options.logs_option
 @options.json_option
 def explain(
@@ -99,22 +103,23 @@
     logs: pathlib.Path | None,
     as_json: bool,
 ) -> None:
-    """Tell where calls go, or what became of one.
+    """Explain the routing of a service, or the handling of a request.
 
-    With --daemon, SUBJECT is a service: where each daemon would send a
-    call to it, and why.  With --logs, SUBJECT is a request's id: what each
-    daemon decided on it, and what changed around it.
+    With --daemon, SUBJECT is a service: lists the targets to which each
+    daemon would send a call, and those left out.  With --logs, SUBJECT is a
+    request ID: lists the decisions of each daemon on the request, and the
+    state changes around that time.
     """
-    _either(daemons, logs)
+    _require_one_source(daemons, logs)
 
     async def from_daemons() -> int:
-        asked = await operator.ask_all(
+        replies = await operator.ask_all(
             daemons, '/v1/status', models.DaemonStatus
         )
-        rows = [_explain(one, subject) for one in asked]
-        plain = '\n'.join(_spell(row) for row in rows)
-        output.show(as_json, {'daemons': rows}, plain)
-        return _heard(asked)
+        rows = [_explain_row(reply, subject) for reply in replies]
+        text = '\n'.join(_format_explanation(row) for row in rows)
+        output.print_result(as_json, {'daemons': rows}, text)
+        return _exit_code(replies)
 
     async def from_logs() -> int:
         assert logs is not None
@@ -123,17 +128,19 @@
     output.run(from_logs if logs is not None else from_daemons, as_json)
 
 
-def _either(daemons: tuple[str, ...], logs: pathlib.Path | None) -> None:
-    """Refuse a command that names no source, or two."""
+def _require_one_source(
+    daemons: tuple[str, ...], logs: pathlib.Path | None
+) -> None:
+    """Require exactly one source of information."""
     if bool(daemons) == (logs is not None):
         raise click.UsageError('give either --daemon or --logs')
 
 
-def _explain(asked: operator.Asked, service: str) -> dict[str, Any]:
-    page = asked.page
+def _explain_row(reply: operator.Asked, service: str) -> dict[str, Any]:
+    page = reply.page
     if not isinstance(page, models.DaemonStatus):
-        return {'address': asked.address, 'error': asked.error}
-    endpoints = {one.service: one.endpoints for one in page.routes}
+        return {'address': reply.address, 'error': reply.error}
+    endpoints = {route.service: route.endpoints for route in page.routes}
     left_out = [
         f'{member.host}/{target.split("/")[1]} ({member.status})'
         for member in page.members
@@ -142,7 +149,7 @@
         and (member.status in ('dead', 'left') or target.endswith(' draining'))
     ]
     return {
-        'address': asked.address,
+        'address': reply.address,
         'host': page.host,
         'revision': page.revision,
         'in_scope': service in endpoints,
@@ -151,7 +158,7 @@
     }
 
 
-def _spell(row: dict[str, Any]) -> str:
+def _format_explanation(row: dict[str, Any]) -> str:
     if 'error' in row:
         return f'{row["address"]}: {row["error"]}'
     if not row['in_scope']:
@@ -159,18 +166,21 @@
             f'{row["host"]}: not in its scope of version {row["revision"]}: '
             'no such service, or internal and nothing here depends on it'
         )
-    chosen = ', '.join(row['targets']) or 'no live target'
-    out = (
+    targets = ', '.join(row['targets']) or 'no live target'
+    left_out_note = (
         f'; left out: {", ".join(row["left_out"])}' if row['left_out'] else ''
     )
-    return f'{row["host"]}: version {row["revision"]}, one of {chosen}{out}'
+    return (
+        f'{row["host"]}: version {row["revision"]}, '
+        f'one of {targets}{left_out_note}'
+    )
 
 
 @click.command(
     epilog='Example: peridotctl timeline --daemon 10.0.0.7:8082 '
     '--request-id 5f0c --host hel-a1; peridotctl timeline --logs logs/'
 )
-@options.some_daemons_option
+@options.optional_daemons_option
 @options.logs_option
 @click.option('--request-id', default='', help='Only this request.')
 @click.option('--host', default='', help='Only events of this host.')
@@ -184,28 +194,28 @@
     revision: int,
     as_json: bool,
 ) -> None:
-    """Merge the events of all daemons, in the order of their clocks."""
-    _either(daemons, logs)
+    """Merge the events of all daemons, ordered by their timestamps."""
+    _require_one_source(daemons, logs)
 
     async def body() -> int:
         query = {'request_id': request_id, 'revision': revision}
-        asked = await operator.ask_all(
+        replies = await operator.ask_all(
             daemons,
             f'/v1/timeline?{urllib.parse.urlencode(query)}',
             models.TimelinePage,
         )
         events = [
             event
-            for one in asked
-            if isinstance(one.page, models.TimelinePage)
-            for event in one.page.events
+            for reply in replies
+            if isinstance(reply.page, models.TimelinePage)
+            for event in reply.page.events
             if host in ('', event.host)
         ]
         events.sort(key=lambda event: (event.at, event.host, event.number))
-        for one in asked:
-            if one.page is None:
-                click.echo(f'{one.address}: {one.error}', err=True)
-        output.show(
+        for reply in replies:
+            if reply.page is None:
+                click.echo(f'{reply.address}: {reply.error}', err=True)
+        output.print_result(
             as_json,
             {'events': [event.model_dump() for event in events]},
             '\n'.join(
@@ -214,18 +224,18 @@
                 for event in events
             ),
         )
-        return _heard(asked)
+        return _exit_code(replies)
 
     async def from_logs() -> int:
         assert logs is not None
-        chosen = fleetlogs.Chosen(request_id, host, revision)
-        return fleetlogs.timeline(logs, chosen, as_json)
+        line_filter = fleetlogs.LineFilter(request_id, host, revision)
+        return fleetlogs.timeline(logs, line_filter, as_json)
 
     output.run(from_logs if logs is not None else body, as_json)
 
 
-def _heard(asked: list[operator.Asked]) -> int:
-    """Return the exit code: failed where no daemon gave its page."""
-    if any(one.page is not None for one in asked):
+def _exit_code(replies: list[operator.Asked]) -> int:
+    """Return the exit code: failure if no daemon returned its page."""
+    if any(reply.page is not None for reply in replies):
         return common.EXIT_OK
     return common.EXIT_FAILED
--- a/src/peridotpost/cli/subcommands/fleetlogs.py
+++ b/src/peridotpost/cli/subcommands/fleetlogs.py
@@ -1,4 +1,4 @@
-"""Commands that read the logs of daemons instead of asking them."""
+"""Commands that read the daemons' logs instead of querying daemons."""
 
 import dataclasses
 import pathlib
@@ -14,14 +14,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Chosen:
-    """Which lines are wanted; empty fields choose all."""
+class LineFilter:
+    """Selects log lines; an empty field matches every line."""
 
     request: str = ''
     host: str = ''
     version: int = 0
 
-    def takes(self, line: loglines.LogLine) -> bool:
+    def matches(self, line: loglines.LogLine) -> bool:
         return (
             self.request in ('', line.request)
             and self.host in ('', line.host)
@@ -30,36 +30,38 @@
 
 
 def explain(folder: pathlib.Path, request: str, as_json: bool) -> int:
-    """Print what the logs tell of a request; return the exit code."""
-    logs = _read(folder)
-    told = story.tell(logs, request)
-    steps = [_plain(one) for one in told.steps]
-    around = [_plain(one) for one in told.around]
-    plain = [f'{request}: {told.cause}', 'decisions:', *steps]
-    plain += ['changes around it:', *around]
+    """Print the history of a request; return the exit code."""
+    logs = _read_logs(folder)
+    history = story.tell(logs, request)
+    steps = [_format_line(line) for line in history.steps]
+    around = [_format_line(line) for line in history.around]
+    output_lines = [f'{request}: {history.cause}', 'decisions:', *steps]
+    output_lines += ['changes around it:', *around]
     data = {
         'request': request,
-        'cause': told.cause,
-        'steps': [_fields(one) for one in told.steps],
-        'around': [_fields(one) for one in told.around],
+        'cause': history.cause,
+        'steps': [_line_to_dict(line) for line in history.steps],
+        'around': [_line_to_dict(line) for line in history.around],
     }
-    output.show(as_json, data, '\n'.join(plain))
-    return common.EXIT_OK if told.steps else common.EXIT_FAILED
+    output.print_result(as_json, data, '\n'.join(output_lines))
+    return common.EXIT_OK if history.steps else common.EXIT_FAILED
 
 
-def timeline(folder: pathlib.Path, chosen: Chosen, as_json: bool) -> int:
-    """Print the lines of all logs in order of time; return the exit code."""
-    logs = _read(folder)
-    lines = [one for one in logs.lines if chosen.takes(one)]
-    output.show(
+def timeline(
+    folder: pathlib.Path, line_filter: LineFilter, as_json: bool
+) -> int:
+    """Print the lines of all logs ordered by time; return the exit code."""
+    logs = _read_logs(folder)
+    lines = [line for line in logs.lines if line_filter.matches(line)]
+    output.print_result(
         as_json,
-        {'events': [_fields(one) for one in lines]},
-        '\n'.join(_plain(one) for one in lines),
+        {'events': [_line_to_dict(line) for line in lines]},
+        '\n'.join(_format_line(line) for line in lines),
     )
     return common.EXIT_OK if lines else common.EXIT_FAILED
 
 
-def _read(folder: pathlib.Path) -> loglines.Logs:
+def _read_logs(folder: pathlib.Path) -> loglines.Logs:
     logs = loglines.read_folder(folder)
     if logs.unreadable or logs.left_out:
         click.echo(
@@ -70,13 +72,13 @@
     return logs
 
 
-def _fields(line: loglines.LogLine) -> dict[str, Any]:
-    found: dict[str, Any] = msgspec.to_builtins(line)
-    return found
+def _line_to_dict(line: loglines.LogLine) -> dict[str, Any]:
+    fields: dict[str, Any] = msgspec.to_builtins(line)
+    return fields
 
 
-def _plain(line: loglines.LogLine) -> str:
-    fields = _fields(line)
+def _format_line(line: loglines.LogLine) -> str:
+    fields = _line_to_dict(line)
     head = ('at', 'host', 'event')
     rest = ' '.join(
         f'{name}={fields[name]}' for name in fields if name not in head
--- a/src/peridotpost/cli/subcommands/options.py
+++ b/src/peridotpost/cli/subcommands/options.py
@@ -1,4 +1,4 @@
-"""Options and arguments that several commands share."""
+"""Options and arguments shared by several commands."""
 
 import getpass
 import pathlib
@@ -8,16 +8,16 @@
 
 
 def check_endpoints(
-    context: click.Context, option: click.Parameter, given: tuple[str, ...]
+    context: click.Context, option: click.Parameter, endpoints: tuple[str, ...]
 ) -> tuple[str, ...]:
-    """Refuse an address that could never be called."""
-    for one in given:
-        parts = urllib.parse.urlsplit(one)
+    """Reject an endpoint that is not an HTTP URL with a host."""
+    for endpoint in endpoints:
+        parts = urllib.parse.urlsplit(endpoint)
         if parts.scheme not in ('http', 'https') or not parts.hostname:
             raise click.BadParameter(
-                f'{one!r} is no address; write it as http://HOST:PORT'
+                f'{endpoint!r} is not a URL; write it as http://HOST:PORT'
             )
-    return given
+    return endpoints
 
 
 store_option = click.option(
@@ -37,7 +37,7 @@
     '--json',
     'as_json',
     is_flag=True,
-    help='Print JSON for programs, errors as well.',
+    help='Print results and errors as JSON.',
 )
 daemons_option = click.option(
     '--daemon',
@@ -46,7 +46,7 @@
     required=True,
     help='ADDRESS:PORT of an admin page; may be repeated.',
 )
-some_daemons_option = click.option(
+optional_daemons_option = click.option(
     '--daemon',
     'daemons',
     multiple=True,
@@ -55,7 +55,7 @@
 logs_option = click.option(
     '--logs',
     type=click.Path(path_type=pathlib.Path, exists=True, file_okay=False),
-    help='Folder with the standard output of each peridot-proxy.',
+    help='Directory with the standard output of each peridot-proxy.',
 )
 text_argument = click.argument('file', type=click.Path(path_type=pathlib.Path))
 timeout_option = click.option(
@@ -63,24 +63,26 @@
     default=2.0,
     type=click.FloatRange(min=0, min_open=True),
     show_default=True,
-    help='For each store call.',
+    help='Timeout of each store call.',
 )
 author_option = click.option(
-    '--author', default=getpass.getuser, help='Who accepts.'
+    '--author', default=getpass.getuser, help='Name of the author.'
 )
-note_option = click.option('--note', default='', help='Why.')
+note_option = click.option('--note', default='', help='Reason for the change.')
 write_id_option = click.option(
-    '--write-id', default='', help='Of an undecided accept, to go on with.'
+    '--write-id',
+    default='',
+    help='Write ID of an undecided accept that is to be repeated.',
 )
 base_option = click.option(
     '--base',
     type=click.IntRange(min=0),
-    help='Version this text was written on; without it, the one in force.',
+    help='Version that this text is based on; default: the one in force.',
 )
 wait_option = click.option(
     '--wait-revision',
     default=0,
     type=click.IntRange(min=0),
-    help='Wait until it is in force on all that are asked about.',
+    help='Wait until this version is in force on all daemons or zones shown.',
 )
 within_option = click.option('--within-s', default=10.0, show_default=True)
--- a/src/peridotpost/cli/subcommands/output.py
+++ b/src/peridotpost/cli/subcommands/output.py
@@ -1,4 +1,4 @@
-"""Printing results and errors, as text or as JSON, and running a command."""
+"""Runs commands, and prints results and errors as text or JSON."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -15,12 +15,12 @@
 from peridotpost.model import errors
 
 
-def show(as_json: bool, data: dict[str, Any], plain: str) -> None:
-    click.echo(json.dumps(data) if as_json else plain)
+def print_result(as_json: bool, data: dict[str, Any], text: str) -> None:
+    click.echo(json.dumps(data) if as_json else text)
 
 
-def fail(as_json: bool, error: errors.PeridotError) -> int:
-    """Print an error of the system; return the exit code."""
+def print_error(as_json: bool, error: errors.PeridotError) -> int:
+    """Print an error; return the exit code."""
     if not as_json:
         click.echo(f'error: {error}', err=True)
         return common.EXIT_FAILED
@@ -29,14 +29,14 @@
         'peer': error.peer,
         'message': error.message,
     }
-    show_problems('failed', str(error), [problem])
+    print_problems('failed', str(error), [problem])
     return common.EXIT_FAILED
 
 
-def show_problems(
+def print_problems(
     outcome: str, error: str, problems: list[dict[str, Any]]
 ) -> None:
-    """Print errors as JSON, in the one shape that all commands use."""
+    """Print errors as JSON, in the format that all commands share."""
     data = {
         'ok': False,
         'outcome': outcome,
@@ -48,10 +48,10 @@
 
 def run(body: Callable[[], Coroutine[Any, Any, int]], as_json: bool) -> None:
     """Run a command's body and exit with its code."""
-    common.run(functools.partial(_guarded, body, as_json))
+    common.run(functools.partial(_run_reporting_json, body, as_json))
 
 
-async def _guarded(
+async def _run_reporting_json(
     body: Callable[[], Coroutine[Any, Any, int]], as_json: bool
 ) -> int:
     if not as_json:
@@ -61,36 +61,36 @@
     except document.DocumentError as error:
         problems = [
             {
-                'file': one.file,
-                'path': one.path,
-                'line': one.line,
-                'message': one.message,
+                'file': problem.file,
+                'path': problem.path,
+                'line': problem.line,
+                'message': problem.message,
             }
-            for one in error.problems
+            for problem in error.problems
         ]
-        show_problems('wrong-text', str(error), problems)
+        print_problems('wrong-text', str(error), problems)
         return common.EXIT_USAGE
     except errors.PeridotError as error:
-        return fail(True, error)
+        return print_error(True, error)
     except OSError as error:
-        show_problems('failed', str(error), [{'message': str(error)}])
+        print_problems('failed', str(error), [{'message': str(error)}])
         return common.EXIT_FAILED
 
 
 class JsonGroup(click.Group):
-    """A group that tells of wrong usage in JSON where ``--json`` is given."""
+    """A group that reports usage errors as JSON if ``--json`` is given."""
 
     def main(
         self, args: Sequence[str] | None = None, *rest: Any, **extra: Any
     ) -> Any:
-        given = list(sys.argv[1:] if args is None else args)
-        if '--json' not in given:
-            return super().main(given, *rest, **extra)
+        arguments = list(sys.argv[1:] if args is None else args)
+        if '--json' not in arguments:
+            return super().main(arguments, *rest, **extra)
         extra['standalone_mode'] = False
         try:
-            code = super().main(given, *rest, **extra)
+            exit_code = super().main(arguments, *rest, **extra)
         except click.ClickException as error:
             message = error.format_message()
-            show_problems('wrong-usage', message, [{'message': message}])
+            print_problems('wrong-usage', message, [{'message': message}])
             sys.exit(error.exit_code)
-        sys.exit(code or common.EXIT_OK)
+        sys.exit(exit_code or common.EXIT_OK)
--- a/src/peridotpost/cli/subcommands/references.py
+++ b/src/peridotpost/cli/subcommands/references.py
@@ -1,4 +1,4 @@
-"""The command that prints the reference."""
+"""The command that prints the configuration reference."""
 
 import click
 
@@ -7,5 +7,5 @@
 
 @click.command(epilog='Example: peridotctl reference > docs/reference.md')
 def reference() -> None:
-    """Print all settings and fields of the text, as Markdown."""
+    """Print all settings and all fields of the text as Markdown."""
     click.echo(references.render(), nl=False)
--- a/src/peridotpost/cli/subcommands/rollout.py
+++ b/src/peridotpost/cli/subcommands/rollout.py
@@ -1,4 +1,4 @@
-"""``peridotctl rollout``: how far a version has come, zone by zone."""
+"""``peridotctl rollout``: the progress of a version in each zone."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 from peridotpost.model import errors
 
 PAGE = '/v1/rollout'
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 @click.command(
@@ -33,75 +33,80 @@
     within_s: float,
     as_json: bool,
 ) -> None:
-    """Show how far versions have come, by the relays of each zone.
+    """Show the rollout of versions, as the relays of each zone report it.
 
-    Any one daemon is enough; it names the relays.  More are asked in turn
-    when the first does not answer.
+    One daemon is enough, as it lists the relays.  Further ones are queried
+    in turn if it does not answer.
     """
 
     async def body() -> int:
-        until = time.monotonic() + within_s
+        deadline = time.monotonic() + within_s
         while True:
-            zones = await _look(daemons)
-            arrived = all(zone.has(wait_revision) for zone in zones)
-            if arrived or not wait_revision or time.monotonic() > until:
+            zones = await _fetch_zones(daemons)
+            in_force = all(zone.has(wait_revision) for zone in zones)
+            if in_force or not wait_revision or time.monotonic() > deadline:
                 break
-            await asyncio.sleep(POLL_S)
-        output.show(
+            await asyncio.sleep(POLL_INTERVAL_S)
+        output.print_result(
             as_json,
-            {'in_force': arrived, 'zones': [_row(one) for one in zones]},
-            '\n'.join(_line(one) for one in zones),
+            {
+                'in_force': in_force,
+                'zones': [
+                    _zone_to_json(rollout_state) for rollout_state in zones
+                ],
+            },
+            '\n'.join(_format_zone(rollout_state) for rollout_state in zones),
         )
-        return common.EXIT_OK if arrived else common.EXIT_REFUSED
+        return common.EXIT_OK if in_force else common.EXIT_REFUSED
 
     output.run(body, as_json)
 
 
-async def _look(daemons: tuple[str, ...]) -> list[rules.ZoneRollout]:
-    """Ask one daemon for the relays, then all relays.
+async def _fetch_zones(daemons: tuple[str, ...]) -> list[rules.ZoneRollout]:
+    """Fetch the list of relays from one daemon, then a page of each relay.
 
-    :raises errors.PeridotError: none of `daemons` answers.
+    :raises errors.PeridotError: none of `daemons` answered.
     """
     page = await _first_page(daemons)
     addresses = tuple(
         relay.admin for zone in page.zones for relay in zone.relays
     )
-    asked = await operator.ask_all(addresses, PAGE, models.RolloutPage)
-    words = [
+    replies = await operator.ask_all(addresses, PAGE, models.RolloutPage)
+    reports = [
         rules.RelayWord(
-            one.page.availability_zone,
-            one.page.lowest_revision,
-            one.page.daemons,
-            one.page.covers_zone,
+            reply.page.availability_zone,
+            reply.page.lowest_revision,
+            reply.page.daemons,
+            reply.page.covers_zone,
         )
-        for one in asked
-        if isinstance(one.page, models.RolloutPage)
+        for reply in replies
+        if isinstance(reply.page, models.RolloutPage)
     ]
     return [
-        rules.of_zone(zone.availability_zone, zone.live, words)
+        rules.of_zone(zone.availability_zone, zone.live, reports)
         for zone in page.zones
     ]
 
 
 async def _first_page(daemons: tuple[str, ...]) -> models.RolloutPage:
-    failure = ''
+    last_error = ''
     for address in daemons:
-        (asked,) = await operator.ask_all((address,), PAGE, models.RolloutPage)
-        if isinstance(asked.page, models.RolloutPage):
-            return asked.page
-        failure = asked.error
+        (reply,) = await operator.ask_all((address,), PAGE, models.RolloutPage)
+        if isinstance(reply.page, models.RolloutPage):
+            return reply.page
+        last_error = reply.error
     raise errors.PeridotError(
-        f'no daemon answered ({failure}); name another with --daemon',
+        f'no daemon answered ({last_error}); name another with --daemon',
         step='rollout.ask',
         peer=', '.join(daemons),
     )
 
 
-def _row(zone: rules.ZoneRollout) -> dict[str, Any]:
+def _zone_to_json(zone: rules.ZoneRollout) -> dict[str, Any]:
     return dataclasses.asdict(zone)
 
 
-def _line(zone: rules.ZoneRollout) -> str:
+def _format_zone(zone: rules.ZoneRollout) -> str:
     return (
         f'{zone.availability_zone}: version {zone.lowest_revision} or later '
         f'on {zone.told} of {zone.live} live daemons'
--- a/src/peridotpost/cli/subcommands/texts.py
+++ b/src/peridotpost/cli/subcommands/texts.py
@@ -1,4 +1,4 @@
-"""Commands that read the operators' texts: check, diff, show, history."""
+"""Commands that read configuration texts: check, diff, show, history."""
 
 import pathlib
 import time
@@ -18,12 +18,12 @@
 @options.text_argument
 @options.json_option
 def check(file: pathlib.Path, as_json: bool) -> None:
-    """Check a text without touching the store."""
+    """Check a text without accessing the store."""
 
     async def body() -> int:
         mesh = operator.mesh_of(operator.read_file(file), str(file))
         count = len(mesh.services)
-        output.show(
+        output.print_result(
             as_json,
             {'ok': True, 'mesh': mesh.mesh, 'services': count},
             f'{file}: ok, mesh {mesh.mesh} with {count} services',
@@ -49,16 +49,16 @@
     """Show what accepting FILE would change."""
 
     async def body() -> int:
-        text = operator.text_for(mesh, file)
-        with operator.opened_store(endpoints, timeout_s) as platform:
+        text = operator.read_mesh_text(mesh, file)
+        with operator.store_session(endpoints, timeout_s) as platform:
             head = await versions.read_head(platform, mesh)
         if isinstance(head, result.Err):
-            return output.fail(as_json, head.err_value)
+            return output.print_error(as_json, head.err_value)
         current = head.ok_value
         old = current.text if current else ''
         base = current.revision if current else 0
-        lines = operator.difference(old, text, f'version {base}', str(file))
-        output.show(
+        lines = operator.unified_diff(old, text, f'version {base}', str(file))
+        output.print_result(
             as_json,
             {'base_revision': base, 'diff': lines},
             lines or f'no difference from version {base}',
@@ -76,7 +76,7 @@
     '--revision',
     default=0,
     type=click.IntRange(min=0),
-    help='A kept version; 0: in force.',
+    help='Version to show; 0 for the one in force.',
 )
 @options.json_option
 def show(
@@ -89,12 +89,14 @@
     """Print a version's text."""
 
     async def body() -> int:
-        with operator.opened_store(endpoints, timeout_s) as platform:
-            found = await operator.kept_version(platform, mesh, revision)
+        with operator.store_session(endpoints, timeout_s) as platform:
+            found = await operator.find_version(platform, mesh, revision)
         if isinstance(found, result.Err):
-            return output.fail(as_json, found.err_value)
+            return output.print_error(as_json, found.err_value)
         version = found.ok_value
-        output.show(as_json, plain(version), version.text.rstrip('\n'))
+        output.print_result(
+            as_json, version_to_json(version), version.text.rstrip('\n')
+        )
         return common.EXIT_OK
 
     output.run(body, as_json)
@@ -108,30 +110,31 @@
 def history(
     mesh: str, endpoints: tuple[str, ...], timeout_s: float, as_json: bool
 ) -> None:
-    """List the kept versions, newest first."""
+    """List the stored versions, newest first."""
 
     async def body() -> int:
-        with operator.opened_store(endpoints, timeout_s) as platform:
-            found = await versions.read_history(platform, mesh)
-        if isinstance(found, result.Err):
-            return output.fail(as_json, found.err_value)
-        rows = found.ok_value
-        listed = '\n'.join(
-            f'{one.revision:>8}  {_at(one.at)}  {one.author:<12} {one.note}'
-            for one in rows
+        with operator.store_session(endpoints, timeout_s) as platform:
+            stored = await versions.read_history(platform, mesh)
+        if isinstance(stored, result.Err):
+            return output.print_error(as_json, stored.err_value)
+        rows = stored.ok_value
+        listing = '\n'.join(
+            f'{version.revision:>8}  {_format_time(version.at)}  '
+            f'{version.author:<12} {version.note}'
+            for version in rows
         )
-        output.show(
+        output.print_result(
             as_json,
-            {'versions': [plain(one) for one in rows]},
-            listed or 'no version was accepted yet',
+            {'versions': [version_to_json(version) for version in rows]},
+            listing or 'no version was accepted yet',
         )
         return common.EXIT_OK
 
     output.run(body, as_json)
 
 
-def plain(version: versions.Accepted) -> dict[str, Any]:
-    """Return a version as JSON shows it."""
+def version_to_json(version: versions.Accepted) -> dict[str, Any]:
+    """Return the JSON representation of a version."""
     return {
         'revision': version.revision,
         'number': version.number,
@@ -144,5 +147,5 @@
     }
 
 
-def _at(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     return time.strftime('%Y-%m-%dT%H:%M:%SZ', time.gmtime(seconds))
--- a/src/peridotpost/cli/target.py
+++ b/src/peridotpost/cli/target.py
@@ -12,12 +12,14 @@
 )
 @click.option('--service', required=True)
 @click.option('--name', required=True)
-@click.option('--port', default=0, help='0: any free.')
-@click.option('--daemon-admin', default='', help="The host's daemon.")
+@click.option('--port', default=0, help='0 selects a free port.')
+@click.option(
+    '--daemon-admin', default='', help="Base URL of the daemon's admin port."
+)
 @click.option('--slots', default=12, show_default=True)
 @click.option('--connections', default=120, show_default=True)
-@click.option('--cold-s', default=0.0, help='Seconds of cold start.')
-@click.option('--work-ms', default=0.0, help='Time that each request takes.')
+@click.option('--cold-s', default=0.0, help='Duration of the cold start.')
+@click.option('--work-ms', default=0.0, help='Run time of a request.')
 @click.option('--health-lies', is_flag=True)
 def main(
     service: str,
@@ -30,7 +32,7 @@
     work_ms: float,
     health_lies: bool,
 ) -> None:
-    """Serve requests as a target would, with faults on command."""
+    """Serve requests as a target would, with fault injection."""
     settings = target.TargetSettings(
         service=service,
         name=name,
--- a/testing/test_operator_cli.py
+++ b/testing/test_operator_cli.py
@@ -1,4 +1,4 @@
-"""The operators' commands, by stores and daemons that fail."""
+"""The operator commands, with stores and daemons that fail."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 @pytest.fixture(scope='module')
 def platform() -> Iterator[str]:
-    """The address of a platform process."""
+    """Start a platform stand-in process and return its URL."""
     command = [sys.executable, '-m', 'peridotpost.cli.platform', '--port']
     with subprocess.Popen([*command, '0'], stdout=subprocess.PIPE) as started:
         assert started.stdout is not None
@@ -44,7 +44,10 @@
 
 @pytest.fixture
 def store(platform: str) -> Iterator[str]:
-    """The same without faults; each test has a mesh of its own in it."""
+    """Return the URL, and reset faults after the test.
+
+    Tests share the store; each uses its own mesh.
+    """
     yield platform
     set_faults(platform)
 
@@ -70,7 +73,7 @@
     tmp_path: pathlib.Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> Run:
-    """Run a command with the test's store; retries do not wait."""
+    """Run a command with the test's store and without delays of retries."""
 
     async def no_sleep(seconds: float) -> None:
         await asyncio.sleep(0)
@@ -96,25 +99,27 @@
     return named
 
 
-def data_of(done: click_testing.Result) -> dict[str, Any]:
-    assert done.output.count('\n') == 1, done.output
-    read: dict[str, Any] = json.loads(done.output)
+def parse_output(result: click_testing.Result) -> dict[str, Any]:
+    assert result.output.count('\n') == 1, result.output
+    read: dict[str, Any] = json.loads(result.output)
     return read
 
 
 def test_versions_are_accepted_listed_shown_and_rolled_back(
     run: Run, text: str
 ) -> None:
-    first = data_of(run('accept', 'mesh.yaml', '--json', '--author', 'a'))
-    second = data_of(run('accept', 'changed.yaml', '--json', '--note', 'why'))
+    first = parse_output(run('accept', 'mesh.yaml', '--json', '--author', 'a'))
+    second = parse_output(
+        run('accept', 'changed.yaml', '--json', '--note', 'why')
+    )
     assert second['base_revision'] == first['revision']
     assert f'version {second["revision"]}' in run('diff', 'mesh.yaml').output
     to = str(first['revision'])
-    back = data_of(run('rollback', '--to', to, '--json'))
-    assert back['revision'] > second['revision']
-    rows = data_of(run('history', '--json'))['versions']
+    rollback = parse_output(run('rollback', '--to', to, '--json'))
+    assert rollback['revision'] > second['revision']
+    rows = parse_output(run('history', '--json'))['versions']
     assert [row['revision'] for row in rows] == [
-        back['revision'],
+        rollback['revision'],
         second['revision'],
         first['revision'],
     ]
@@ -123,54 +128,61 @@
         'why',
         '',
     ]
-    assert data_of(run('show', '--json'))['text'] == text
+    assert parse_output(run('show', '--json'))['text'] == text
     kept = run('show', '--revision', str(second['revision']))
     assert 'deadline_ms: 2500' in kept.output
     assert 'no difference' in run('diff', 'mesh.yaml').output
     assert 'why' in run('history').output
     for missing in ('show', '--revision'), ('rollback', '--to'):
-        done = run(*missing, '999')
-        assert done.exit_code == FAILED
-        assert 'peridotctl history' in done.output
+        result = run(*missing, '999')
+        assert result.exit_code == FAILED
+        assert 'peridotctl history' in result.output
 
 
-def test_loser_of_a_race_sees_author_version_and_difference(
+def test_conflicting_accept_prints_author_version_and_diff(
     run: Run, text: str
 ) -> None:
-    base = str(data_of(run('accept', 'mesh.yaml', '--json'))['revision'])
-    won = data_of(run('accept', 'changed.yaml', '--json', '--author', 'eva'))
-    lost = run('accept', 'mesh.yaml', '--base', base, '--json')
-    assert lost.exit_code == REFUSED
-    told = data_of(lost)
-    assert told['outcome'] == 'lost-race'
-    assert (told['author'], told['current_revision']) == (
+    base = str(parse_output(run('accept', 'mesh.yaml', '--json'))['revision'])
+    winner = parse_output(
+        run('accept', 'changed.yaml', '--json', '--author', 'eva')
+    )
+    loser = run('accept', 'mesh.yaml', '--base', base, '--json')
+    assert loser.exit_code == REFUSED
+    result = parse_output(loser)
+    assert result['outcome'] == 'lost-race'
+    assert (result['author'], result['current_revision']) == (
         'eva',
-        won['revision'],
+        winner['revision'],
     )
-    assert '+' in told['diff']
-    plain = run('rollback', '--to', base, '--base', base)
-    assert plain.exit_code == REFUSED
-    assert f'eva accepted version {won["revision"]} first' in plain.output
-    assert 'deadline_ms: 2500' in plain.output
+    assert '+' in result['diff']
+    text_result = run('rollback', '--to', base, '--base', base)
+    assert text_result.exit_code == REFUSED
+    assert (
+        f'eva accepted version {winner["revision"]} first'
+        in text_result.output
+    )
+    assert 'deadline_ms: 2500' in text_result.output
 
 
-def test_an_accept_without_a_base_tells_which_one_it_takes(
+def test_accept_without_base_prints_the_base_in_use(
     run: Run, text: str
 ) -> None:
-    """A text made on an older version replaced what came since in silence."""
-    base = data_of(run('accept', 'mesh.yaml', '--json'))['revision']
-    told = run('accept', 'changed.yaml').output
-    assert f'takes version {base}' in told
-    assert told.index('takes version') < told.index('accepted as version')
+    """A text based on an older version silently reverted later changes."""
+    base = parse_output(run('accept', 'mesh.yaml', '--json'))['revision']
+    printed = run('accept', 'changed.yaml').output
+    assert f'takes version {base}' in printed
+    assert printed.index('takes version') < printed.index(
+        'accepted as version'
+    )
     fixed = run('accept', 'mesh.yaml', '--base', str(base + 1)).output
     assert 'takes version' not in fixed
 
 
-def test_of_two_operators_at_once_one_wins(
+def test_one_of_two_concurrent_accepts_succeeds(
     store: str, mesh_name: str, text: str, tmp_path: pathlib.Path
 ) -> None:
-    # Two operators accept on the same version at the same moment, each in
-    # a process of its own.  One must win, the other be told by whom.
+    # Two processes accept on the same base at the same time.  One must
+    # succeed, and the other must report the author and the version.
     common = ['--mesh', mesh_name, '--store', store, '--base', '0', '--json']
     started = [
         subprocess.Popen(
@@ -179,14 +191,14 @@
         )
         for who, file in (('ann', 'mesh.yaml'), ('bob', 'changed.yaml'))
     ]
-    told = {}
+    results = {}
     for process in started:
         out, _ = process.communicate(timeout=30)
-        told[process.returncode] = json.loads(out)
-    assert sorted(told) == [OK, REFUSED]
-    assert told[REFUSED]['current_revision'] == told[OK]['revision']
-    assert told[REFUSED]['author'] in ('ann', 'bob')
-    assert told[REFUSED]['diff']
+        results[process.returncode] = json.loads(out)
+    assert sorted(results) == [OK, REFUSED]
+    assert results[REFUSED]['current_revision'] == results[OK]['revision']
+    assert results[REFUSED]['author'] in ('ann', 'bob')
+    assert results[REFUSED]['diff']
 
 
 BASE = ['--base', '0']
@@ -217,24 +229,24 @@
     STORE_CASES,
     ids=[f'{case[0]}-{"-".join(case[1])}' for case in STORE_CASES],
 )
-def test_failing_store_ends_in_a_definite_word(
+def test_store_fault_gives_a_definite_outcome(
     fault: str, command: list[str], code: int, run: Run, store: str, text: str
 ) -> None:
     set_faults(store, **FAULTS[fault])
     limit = ['--timeout-s', '0.1']
-    told = run(*command, *limit, '--json')
-    assert told.exit_code == code, told.output
-    data = data_of(told)
+    result = run(*command, *limit, '--json')
+    assert result.exit_code == code, result.output
+    data = parse_output(result)
     if code == FAILED:
         assert data['problems'][0]['step'].startswith('store.')
         assert data['problems'][0]['peer'] == store
     set_faults(store)
     if code == UNDECIDED:
         resumed = ['--write-id', data['write_id']]
-        again = data_of(run(*command, *resumed, '--json'))
+        again = parse_output(run(*command, *resumed, '--json'))
         assert again['outcome'] == 'accepted'
     expected = 0 if code == FAILED else 1
-    rows = data_of(run('history', '--json'))['versions']
+    rows = parse_output(run('history', '--json'))['versions']
     assert len(rows) == expected
 
 
@@ -258,7 +270,7 @@
     ],
     ids=lambda value: '-'.join(value) if isinstance(value, list) else '',
 )
-def test_wrong_usage_is_told_in_words_and_as_json(
+def test_usage_error_is_printed_as_text_and_json(
     arguments: list[str],
     message: str,
     run: Run,
@@ -266,14 +278,14 @@
     tmp_path: pathlib.Path,
 ) -> None:
     (tmp_path / 'wrong.yaml').write_text(text.replace('services', 'servces'))
-    plain = run(*arguments)
-    assert plain.exit_code == USAGE
-    assert message in plain.output
-    told = run(*arguments, '--json')
-    assert told.exit_code == USAGE
-    data = data_of(told)
+    text_result = run(*arguments)
+    assert text_result.exit_code == USAGE
+    assert message in text_result.output
+    result = run(*arguments, '--json')
+    assert result.exit_code == USAGE
+    data = parse_output(result)
     assert message in data['error']
-    assert all(one['message'] for one in data['problems'])
+    assert all(problem['message'] for problem in data['problems'])
 
 
 def test_every_command_has_help_with_an_example(run: Run) -> None:
@@ -283,13 +295,13 @@
 
 
 @contextlib.contextmanager
-def admin_page(answer: bytes) -> Iterator[tuple[str, list[str]]]:
-    """Serve one page to every request; yield its address and the paths."""
-    asked: list[str] = []
+def admin_server(answer: bytes) -> Iterator[tuple[str, list[str]]]:
+    """Serve one page to every request; yield the address and the paths."""
+    paths: list[str] = []
 
     class Handler(http.server.BaseHTTPRequestHandler):
         def do_GET(self) -> None:
-            asked.append(self.path)
+            paths.append(self.path)
             self.send_response(200)
             self.end_headers()
             self.wfile.write(answer)
@@ -301,7 +313,7 @@
     serving = threading.Thread(target=server.serve_forever, args=(0.01,))
     serving.start()
     try:
-        yield f'127.0.0.1:{server.server_port}', asked
+        yield f'127.0.0.1:{server.server_port}', paths
     finally:
         server.shutdown()
         serving.join()
@@ -310,25 +322,25 @@
 
 @pytest.mark.parametrize('command', ['status', 'explain', 'timeline'])
 @pytest.mark.parametrize('answer', [b'', b'[]', b'{"host": 1}'])
-def test_daemon_that_gives_no_page_is_told(
+def test_daemon_without_valid_page_is_named(
     command: str, answer: bytes, run: Run
 ) -> None:
     arguments = [command, *(['bond-issue'] if command == 'explain' else [])]
-    with admin_page(answer) as (address, _):
-        done = run(*arguments, '--daemon', address)
-    assert done.exit_code == FAILED
-    assert address in done.output
+    with admin_server(answer) as (address, _):
+        result = run(*arguments, '--daemon', address)
+    assert result.exit_code == FAILED
+    assert address in result.output
 
 
-def test_timeline_asks_for_any_request_id(run: Run) -> None:
-    with admin_page(b'{"events": []}') as (address, asked):
-        done = run('timeline', '--daemon', address, '--request-id', 'a&b #c')
-    assert done.exit_code == OK
-    assert asked == ['/v1/timeline?request_id=a%26b+%23c&revision=0']
+def test_timeline_encodes_request_id_in_the_query(run: Run) -> None:
+    with admin_server(b'{"events": []}') as (address, paths):
+        result = run('timeline', '--daemon', address, '--request-id', 'a&b #c')
+    assert result.exit_code == OK
+    assert paths == ['/v1/timeline?request_id=a%26b+%23c&revision=0']
 
 
-def daemon_settings(tmp_path: pathlib.Path, **settings: Any) -> str:
-    plain = {
+def write_settings(tmp_path: pathlib.Path, **settings: Any) -> str:
+    content = {
         'host': 'h',
         'availability_zone': 'z',
         'mesh': 'm',
@@ -337,13 +349,13 @@
         **settings,
     }
     file = tmp_path / f'settings-{len(list(tmp_path.iterdir()))}.json'
-    file.write_text(json.dumps(plain, indent=2))
+    file.write_text(json.dumps(content, indent=2))
     return str(file)
 
 
 @pytest.fixture
 def start_daemon() -> Iterator[StartDaemon]:
-    """Start daemons by their settings files; they end with the test."""
+    """Start daemons from settings files and stop them after the test."""
     with contextlib.ExitStack() as stack:
 
         def start(file: str) -> 'subprocess.Popen[str]':
@@ -362,7 +374,7 @@
 
 
 @contextlib.contextmanager
-def taken_port(kind: socket.SocketKind) -> Iterator[int]:
+def bound_port(kind: socket.SocketKind) -> Iterator[int]:
     with socket.socket(socket.AF_INET, kind) as taken:
         taken.bind(('127.0.0.1', 0))
         if kind is socket.SOCK_STREAM:
@@ -371,32 +383,32 @@
 
 
 @pytest.mark.processes
-def test_port_in_use_ends_the_daemon_with_setting_and_port(
+def test_daemon_with_port_in_use_exits_naming_setting_and_port(
     start_daemon: StartDaemon, tmp_path: pathlib.Path
 ) -> None:
     with (
-        taken_port(socket.SOCK_STREAM) as tcp,
-        taken_port(socket.SOCK_DGRAM) as udp,
+        bound_port(socket.SOCK_STREAM) as tcp,
+        bound_port(socket.SOCK_DGRAM) as udp,
     ):
         started = {}
         for name in mesh.PORT_NAMES:
             taken = udp if name == 'probe_port' else tcp
             listen = {**dict.fromkeys(mesh.PORT_NAMES, 0), name: taken}
-            file = daemon_settings(tmp_path, listen=listen)
+            file = write_settings(tmp_path, listen=listen)
             started[name] = (taken, start_daemon(file))
         for name, (taken, process) in started.items():
-            _, told = process.communicate(timeout=30)
-            assert process.returncode == FAILED, told
-            assert f'listen.{name}' in told
-            assert str(taken) in told
-            assert 'Traceback' not in told
+            _, stderr = process.communicate(timeout=30)
+            assert process.returncode == FAILED, stderr
+            assert f'listen.{name}' in stderr
+            assert str(taken) in stderr
+            assert 'Traceback' not in stderr
 
 
 @pytest.mark.processes
-def test_wrong_settings_are_told_with_file_path_and_line(
+def test_invalid_settings_error_names_file_path_and_line(
     start_daemon: StartDaemon, tmp_path: pathlib.Path
 ) -> None:
-    wrong = daemon_settings(tmp_path, timing={'suspicion_s': 'soon'})
+    wrong = write_settings(tmp_path, timing={'suspicion_s': 'soon'})
     broken = tmp_path / 'broken.json'
     broken.write_text('{"host": ')
     cases = {
@@ -406,24 +418,24 @@
     }
     started = {file: start_daemon(file) for file in cases}
     for file, words in cases.items():
-        _, told = started[file].communicate(timeout=30)
+        _, stderr = started[file].communicate(timeout=30)
         assert started[file].returncode == USAGE
-        assert 'Traceback' not in told
+        assert 'Traceback' not in stderr
         for word in words:
-            assert word in told
+            assert word in stderr
 
 
 @pytest.mark.processes
-def test_daemon_that_waits_for_the_store_ends_when_told_to(
+def test_daemon_waiting_for_the_store_stops_on_sigterm(
     start_daemon: StartDaemon, tmp_path: pathlib.Path
 ) -> None:
-    # The store is out and no peer is known: the start does not get on.
-    # SIGTERM was only heeded once it had.
+    # The store is unreachable and no peer is known, so startup cannot
+    # complete.  SIGTERM was only handled after startup.
     listen = dict.fromkeys(mesh.PORT_NAMES, 0)
-    process = start_daemon(daemon_settings(tmp_path, listen=listen))
+    process = start_daemon(write_settings(tmp_path, listen=listen))
     assert process.stderr is not None
     assert any('waiting-for-store' in line for line in process.stderr)
     process.send_signal(signal.SIGTERM)
-    out, told = process.communicate(timeout=processes.STOP_S)
-    assert process.returncode == OK, out + told
-    assert 'Traceback' not in told
+    out, stderr = process.communicate(timeout=processes.STOP_S)
+    assert process.returncode == OK, out + stderr
+    assert 'Traceback' not in stderr
