--- a/testing/soak/__init__.py
+++ b/testing/soak/__init__.py
@@ -1,7 +1,8 @@
-"""A randomized soak of the real programs, with faults from outside.
+"""Randomized fault-injection soak test of the real programs.
 
-``peridot-proxy`` and the targets run as processes of their own on loopback
-addresses; relays stand in every connection between them and the store.
-Faults come in series and overlap; callers go on all the while.  At the end
-what callers and targets saw is held against what the product promises.
+``peridot-proxy`` and the targets run as separate processes on loopback
+addresses, and every connection between them and to the store goes through a
+relay.  Overlapping series of faults are injected while callers keep sending
+requests.  Afterwards the records of callers and targets are checked against
+the invariants of the product.
 """
--- a/testing/soak/__main__.py
+++ b/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m testing.soak``: play seeds, print what broke."""
+"""``python -m testing.soak``: run seeds and print violated invariants."""
 
 import asyncio
 import pathlib
@@ -13,19 +13,19 @@
 
 
 @click.command(epilog='Example: python -m testing.soak --seed 7')
-@click.option('--seed', 'seeds', type=int, multiple=True, help='Play it.')
-@click.option('--fresh', default=0, help='Play so many new seeds.')
+@click.option('--seed', 'seeds', type=int, multiple=True, help='Seed to run.')
+@click.option('--fresh', default=0, help='Number of random seeds to run.')
 @click.option(
     '--fleet-faults',
     is_flag=True,
-    help='Faults of many hosts at once, beside those of single ones.',
+    help='Also inject faults that affect many hosts at once.',
 )
-@click.option('--seconds', default=20.0, help='How long faults come.')
+@click.option('--seconds', default=20.0, help='Duration of fault injection.')
 @click.option(
     '--folder',
     default='run/soak',
     type=click.Path(path_type=pathlib.Path),
-    help='For logs; those of seeds that broke nothing are removed.',
+    help='For logs; those of seeds without violations are removed.',
 )
 def main(
     seeds: tuple[int, ...],
@@ -34,26 +34,27 @@
     seconds: float,
     folder: pathlib.Path,
 ) -> None:
-    """Run the programs under faults; exit with 1 if a promise broke."""
-    # Whoever ends the soak ends its processes with it; a shell that starts
-    # it in the background has set SIGINT to be ignored.
+    """Run the programs under faults; exit with 1 if an invariant broke."""
+    # Both signals have to unwind the soak so that it ends its child
+    # processes.  SIGINT is set explicitly, as a shell ignores it for jobs
+    # that it starts in the background.
     signal.signal(signal.SIGINT, signal.default_int_handler)
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    dice = random.SystemRandom()
-    drawn = [*seeds, *(dice.randrange(10**9) for _ in range(fresh))]
+    rng = random.SystemRandom()
+    all_seeds = [*seeds, *(rng.randrange(10**9) for _ in range(fresh))]
     failed = 0
-    for seed in drawn:
+    for seed in all_seeds:
         place = folder / str(seed)
         shutil.rmtree(place, ignore_errors=True)
-        verdict = asyncio.run(runs.run(seed, seconds, place, fleet_faults))
+        result = asyncio.run(runs.run(seed, seconds, place, fleet_faults))
         click.echo(
-            f'seed {seed}: {verdict.faults} faults, {verdict.asked} asked, '
-            f'{verdict.answered} answered, {verdict.served} served, '
-            f'{len(verdict.broken)} broken'
+            f'seed {seed}: {result.faults} faults, {result.asked} asked, '
+            f'{result.answered} answered, {result.served} served, '
+            f'{len(result.broken)} broken'
         )
-        for one in verdict.broken[:20]:
-            click.echo(f'  {one.promise}: {one.detail}')
-        if verdict.broken:
+        for violation in result.broken[:20]:
+            click.echo(f'  {violation.promise}: {violation.detail}')
+        if result.broken:
             failed += 1
         else:
             shutil.rmtree(place)
--- a/testing/soak/callers.py
+++ b/testing/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of one host, who go on whatever happens to it."""
+"""Callers of one host, which keep sending requests during faults."""
 
 import asyncio
 import dataclasses
@@ -12,19 +12,19 @@
 from testing.soak import worker_program
 
 MIN_DEADLINE_S, MAX_DEADLINE_S = 0.8, 2.5
-PATIENCE_S = 2.0
-"""Past its deadline a request that has no answer counts as silent."""
-PAUSE_S = 0.15
-"""Mean pause between a caller's requests."""
-NO_CONNECTION_PAUSE_S = 0.1
-LEAVES_SHARE = 0.04
-ODD_SHARE = 0.15
-VERSION_SHARE = 0.15
-NEW_CONNECTION_SHARE = 0.1
+RESPONSE_GRACE_S = 2.0
+"""Time after its deadline until an unanswered request counts as silent."""
+MEAN_PAUSE_S = 0.15
+"""Mean time between the requests of one caller."""
+RECONNECT_DELAY_S = 0.1
+ABANDON_PROBABILITY = 0.04
+FAULTY_ACTION_PROBABILITY = 0.15
+VERSIONED_ROUTE_PROBABILITY = 0.15
+RECONNECT_PROBABILITY = 0.1
 MAX_WORK_MS = 120
-ABUSE_TIMES = 5
-"""How often a caller that abuses retries asks again at once."""
-ODD_ACTIONS = (
+MAX_IMMEDIATE_RETRIES = 5
+"""Immediate retries of a rejected request while ``retry_abuse`` is set."""
+FAULTY_ACTIONS = (
     'failed',
     'truncated',
     'reset',
@@ -37,27 +37,27 @@
     'foreign-first',
     'unframed',
 )
-"""What targets are asked to do wrong; see the stand-in."""
+"""Target faults that a request can ask for; see ``standins.worker``."""
 
 
 class Caller:
-    """One caller, with one connection at a time."""
+    """A caller that uses one connection at a time."""
 
     def __init__(
         self,
         host: hosts.Place,
-        seen: records.Records,
-        newest: 'Newest',
-        dice: random.Random,
-        numbers: 'itertools.count[int]',
+        observed: records.Records,
+        shared: 'SharedState',
+        rng: random.Random,
+        request_numbers: 'itertools.count[int]',
     ) -> None:
         self.host = host
-        self.seen = seen
-        self.newest = newest
-        self.dice = dice
-        self.numbers = numbers
+        self.observed = observed
+        self.shared = shared
+        self.rng = rng
+        self.request_numbers = request_numbers
 
-    async def call_until(self, stop: asyncio.Event) -> None:
+    async def run_until(self, stop: asyncio.Event) -> None:
         while not stop.is_set():
             try:
                 connection = await asyncio.open_connection(
@@ -66,52 +66,58 @@
                     local_addr=(self.host.address, 0),
                 )
             except OSError:
-                await asyncio.sleep(NO_CONNECTION_PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             try:
-                await self._use(proxies.Caller(*connection), stop)
+                await self._send_requests(proxies.Caller(*connection), stop)
             finally:
                 connection[1].close()
 
-    async def _use(self, caller: proxies.Caller, stop: asyncio.Event) -> None:
-        """Send requests on one connection until it ends or enough is sent."""
+    async def _send_requests(
+        self, caller: proxies.Caller, stop: asyncio.Event
+    ) -> None:
+        """Send requests on one connection until it closes or is replaced."""
         while not stop.is_set():
-            await asyncio.sleep(self.dice.expovariate(1 / PAUSE_S))
-            asked = self._draw()
-            again = await self._ask_noted(caller, asked)
-            for _ in range(ABUSE_TIMES):
-                if not (again and self.newest.abused and asked.status == 503):
+            await asyncio.sleep(self.rng.expovariate(1 / MEAN_PAUSE_S))
+            request = self._make_request()
+            reusable = await self._send_recorded(caller, request)
+            for _ in range(MAX_IMMEDIATE_RETRIES):
+                if not (
+                    reusable
+                    and self.shared.retry_abuse
+                    and request.status == 503
+                ):
                     break
-                asked = self._again(asked)
-                again = await self._ask_noted(caller, asked)
-            if not again or self.dice.random() < NEW_CONNECTION_SHARE:
+                request = self._make_retry(request)
+                reusable = await self._send_recorded(caller, request)
+            if not reusable or self.rng.random() < RECONNECT_PROBABILITY:
                 return
 
-    async def _ask_noted(
-        self, caller: proxies.Caller, asked: records.Asked
+    async def _send_recorded(
+        self, caller: proxies.Caller, request: records.Asked
     ) -> bool:
-        self.seen.asked.append(asked)
-        again = await self._ask(caller, asked)
-        asked.ended = time.monotonic()
-        return again
+        self.observed.requests.append(request)
+        reusable = await self._send(caller, request)
+        request.ended = time.monotonic()
+        return reusable
 
-    def _draw(self) -> records.Asked:
-        once = self.dice.random() < 0.45
+    def _make_request(self) -> records.Asked:
+        once = self.rng.random() < 0.45
         kind = records.Kind.ONCE if once else records.Kind.IDEMPOTENT
         action = 'work'
-        if self.dice.random() < ODD_SHARE:
-            action = self.dice.choice(ODD_ACTIONS)
+        if self.rng.random() < FAULTY_ACTION_PROBABILITY:
+            action = self.rng.choice(FAULTY_ACTIONS)
         prefix = kind.value
         version = 0
-        if self.dice.random() < VERSION_SHARE:
+        if self.rng.random() < VERSIONED_ROUTE_PROBABILITY:
             kind = records.Kind.IDEMPOTENT
-            version = self.newest.draw(self.dice)
+            version = self.shared.pick_version(self.rng)
             prefix = f'v{version}'
-        elif self.dice.random() < 0.25:
+        elif self.rng.random() < 0.25:
             kind, prefix = records.Kind.IDEMPOTENT, 'other'
-        number = next(self.numbers)
-        work_ms = self.dice.randint(1, MAX_WORK_MS)
-        body = self._body(kind, number)
+        number = next(self.request_numbers)
+        work_ms = self.rng.randint(1, MAX_WORK_MS)
+        body = self._make_body(kind, number)
         return records.Asked(
             attempt=f'{self.host.name}-{number}',
             host=self.host.name,
@@ -120,54 +126,59 @@
             target=f'/{prefix}/{action}?ms={work_ms}&n={number}',
             digest=worker_program.digest(body),
             sent=0.0,
-            deadline_s=self.dice.uniform(MIN_DEADLINE_S, MAX_DEADLINE_S),
+            deadline_s=self.rng.uniform(MIN_DEADLINE_S, MAX_DEADLINE_S),
             body=body,
             route_version=version,
         )
 
-    def _body(self, kind: records.Kind, number: int) -> bytes:
+    def _make_body(self, kind: records.Kind, number: int) -> bytes:
         if kind is records.Kind.IDEMPOTENT:
             return b''
-        return f'body {number} '.encode() * self.dice.randint(1, 3000)
+        return f'body {number} '.encode() * self.rng.randint(1, 3000)
+
+    async def _send(
+        self, caller: proxies.Caller, request: records.Asked
+    ) -> bool:
+        """Send a request and record its outcome.
 
-    async def _ask(self, caller: proxies.Caller, asked: records.Asked) -> bool:
-        """Send one request, note its end; return whether to go on here."""
-        body, asked.body = asked.body, b''
+        Return whether the connection can be used again.
+        """
+        body, request.body = request.body, b''
         caller.send(
-            asked.target,
-            asked.method,
-            asked.attempt,
+            request.target,
+            request.method,
+            request.attempt,
             body,
-            X_Deadline_Remaining_Ms=str(int(asked.deadline_s * 1000)),
+            X_Deadline_Remaining_Ms=str(int(request.deadline_s * 1000)),
         )
-        asked.sent = time.monotonic()
-        limit_s = asked.deadline_s + PATIENCE_S
-        leaves = self.dice.random() < LEAVES_SHARE
-        if leaves:
-            limit_s = self.dice.uniform(0.0, asked.deadline_s)
+        request.sent = time.monotonic()
+        limit_s = request.deadline_s + RESPONSE_GRACE_S
+        abandons = self.rng.random() < ABANDON_PROBABILITY
+        if abandons:
+            limit_s = self.rng.uniform(0.0, request.deadline_s)
         try:
             async with asyncio.timeout(limit_s):
-                answer = await caller.receive()
+                response = await caller.receive()
         except TimeoutError:
-            asked.ending = records.Ending.SILENT
-            if leaves:
-                asked.ending = records.Ending.LEFT
+            request.ending = records.Ending.SILENT
+            if abandons:
+                request.ending = records.Ending.LEFT
             return False
         except (OSError, asyncio.IncompleteReadError):
-            asked.ending = records.Ending.CLOSED
+            request.ending = records.Ending.CLOSED
             return False
-        asked.ending = records.Ending.ANSWERED
-        asked.status = answer.status
-        asked.proof = answer.headers.get('x-response-signature', '')
-        asked.body = answer.body
-        return answer.headers.get('connection', '').lower() != 'close'
-
-    def _again(self, asked: records.Asked) -> records.Asked:
-        """Return a refused request as its caller sends it at once again."""
-        body = self._body(asked.kind, next(self.numbers))
+        request.ending = records.Ending.ANSWERED
+        request.status = response.status
+        request.proof = response.headers.get('x-response-signature', '')
+        request.body = response.body
+        return response.headers.get('connection', '').lower() != 'close'
+
+    def _make_retry(self, request: records.Asked) -> records.Asked:
+        """Return a retry of a rejected request, with a new attempt id."""
+        body = self._make_body(request.kind, next(self.request_numbers))
         return dataclasses.replace(
-            asked,
-            attempt=f'{self.host.name}-{next(self.numbers)}',
+            request,
+            attempt=f'{self.host.name}-{next(self.request_numbers)}',
             digest=worker_program.digest(body),
             ending=records.Ending.SILENT,
             status=0,
@@ -176,16 +187,17 @@
         )
 
 
-class Newest:
-    """What callers know of the fleet.
+class SharedState:
+    """State that callers share with the fault injector.
 
-    :param version: routes are named after.
-    :param abused: refused callers ask again at once.
+    :param version: newest configuration version; versioned routes are
+        named after it.
+    :param retry_abuse: callers retry rejected requests immediately.
     """
 
     def __init__(self) -> None:
         self.version = 0
-        self.abused = False
+        self.retry_abuse = False
 
-    def draw(self, dice: random.Random) -> int:
-        return max(1, self.version - dice.randint(0, 4))
+    def pick_version(self, rng: random.Random) -> int:
+        return max(1, self.version - rng.randint(0, 4))
--- a/testing/soak/clock/sitecustomize.py
+++ b/testing/soak/clock/sitecustomize.py
@@ -1,4 +1,4 @@
-"""Shifts the wall clock of a process by a fixed time, from outside it."""
+"""Shifts a process's wall clock by an offset from the environment."""
 
 import os
 import time
--- a/testing/soak/faults.py
+++ b/testing/soak/faults.py
@@ -1,4 +1,4 @@
-"""Puts the drawn faults into a running fleet, and heals them."""
+"""Injects the generated faults into a running fleet and reverts them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,145 +15,147 @@
 from testing.soak import records
 from testing.standins import kv as kv_standin
 
-HOST_RECORDS = 'peridotpost/hosts/'
-RESTART_S = 1.0
-"""From a start until the process answers; it counts as disrupted so long."""
+HOST_RECORD_PREFIX = 'peridotpost/hosts/'
+STARTUP_S = 1.0
+"""Startup time of a process, during which it counts as disrupted."""
 
 
-class World:
-    """What faults act on."""
+class Environment:
+    """The fleet, store and shared state that faults act on."""
 
     def __init__(
         self,
         fleet: dict[str, hosts.Host],
         kv: kv_standin.Kv,
-        seen: records.Records,
-        newest: callers.Newest,
+        observed: records.Records,
+        shared: callers.SharedState,
     ) -> None:
         self.fleet = fleet
         self.kv = kv
-        self.seen = seen
-        self.newest = newest
-        self.configuring = asyncio.Lock()
-        self.busy: dict[str, asyncio.Lock] = {}
-
-    def only_one(self, process: str) -> asyncio.Lock:
-        """Return the lock under which a process is ended and started."""
-        return self.busy.setdefault(process, asyncio.Lock())
-
-    async def configure(self) -> None:
-        """Put the next version into the store."""
-        async with self.configuring:
-            version = self.newest.version + 1
+        self.observed = observed
+        self.shared = shared
+        self.config_lock = asyncio.Lock()
+        self.process_locks: dict[str, asyncio.Lock] = {}
+
+    def process_lock(self, process: str) -> asyncio.Lock:
+        """Return the lock that serializes stops and starts of a process."""
+        return self.process_locks.setdefault(process, asyncio.Lock())
+
+    async def publish_next_version(self) -> None:
+        """Write the next configuration version to the store."""
+        async with self.config_lock:
+            version = self.shared.version + 1
             text = proxies.config(version)
-            first = max(1, version - records.KEPT_ROUTES + 1)
+            first = max(1, version - records.KEPT_VERSIONED_ROUTES + 1)
             text['routes'] += [
                 proxies.route(f'v{one}', f'/v{one}/', 'safe', 2, 'register')
                 for one in range(first, version + 1)
             ]
             await self.kv.configure(text)
-            self.newest.version = version
-            self.seen.versions[version] = time.monotonic()
+            self.shared.version = version
+            self.observed.versions[version] = time.monotonic()
 
     @contextlib.asynccontextmanager
-    async def disrupting(
+    async def recording_disruption(
         self, host: str, what: str, planned: bool = False
     ) -> AsyncIterator[None]:
-        """Note a disruption from entry to exit."""
+        """Record a disruption that lasts from entry to exit."""
         start = time.monotonic()
         try:
             yield
         finally:
-            self.seen.disruptions.append(
+            self.observed.disruptions.append(
                 records.Disruption(
                     start, time.monotonic(), host, what, planned
                 )
             )
 
 
-async def _paused(
+async def _pause(
     send: Callable[[signal.Signals], None], seconds: float
 ) -> None:
-    """Have a process stand still."""
+    """Suspend a process with SIGSTOP for some time."""
     send(signal.SIGSTOP)
     await asyncio.sleep(seconds)
     send(signal.SIGCONT)
 
 
 @functools.singledispatch
-async def inject(fault: plan.Fault, world: World) -> None:
-    """Put one fault in, wait, heal it."""
+async def inject(fault: plan.Fault, env: Environment) -> None:
+    """Inject a fault, wait until it expires, and revert it."""
     raise NotImplementedError(type(fault))
 
 
 @inject.register
-async def _(fault: plan.LinkFault, world: World) -> None:
-    link = world.fleet[fault.host].links[fault.link]
+async def _(fault: plan.LinkFault, env: Environment) -> None:
+    link = env.fleet[fault.host].links[fault.link]
     what = f'{fault.link} {fault.how}'
-    async with world.disrupting(fault.host, what):
+    async with env.recording_disruption(fault.host, what):
         match fault.how:
             case 'reset':
                 link.reset()
             case 'silence':
-                link.silence()
+                link.blackhole()
             case 'refuse':
-                link.refuse = True
+                link.reset_new_connections = True
                 link.reset()
             case 'delay':
                 link.delay_s = fault.delay_s
             case 'cut-up':
-                link.open_up.clear()
+                link.to_upstream_open.clear()
             case 'cut-down':
-                link.open_down.clear()
+                link.to_client_open.clear()
         await asyncio.sleep(fault.lasts_s)
-        link.refuse = False
+        link.reset_new_connections = False
         link.delay_s = 0.0
-        link.open_up.set()
-        link.open_down.set()
+        link.to_upstream_open.set()
+        link.to_client_open.set()
 
 
 @inject.register
-async def _(fault: plan.DaemonFault, world: World) -> None:
-    host = world.fleet[fault.host]
-    async with world.only_one(f'{fault.host} daemon'):
+async def _(fault: plan.DaemonFault, env: Environment) -> None:
+    host = env.fleet[fault.host]
+    async with env.process_lock(f'{fault.host} daemon'):
         if fault.how == 'reload':
-            async with world.disrupting(fault.host, 'reload', planned=True):
+            async with env.recording_disruption(
+                fault.host, 'reload', planned=True
+            ):
                 host.signal_daemon(signal.SIGHUP)
             return
         planned = fault.how == 'stop'
-        async with world.disrupting(fault.host, fault.how, planned):
+        async with env.recording_disruption(fault.host, fault.how, planned):
             if fault.how == 'pause':
-                await _paused(host.signal_daemon, fault.lasts_s)
+                await _pause(host.signal_daemon, fault.lasts_s)
                 return
-            how = signal.SIGTERM if planned else signal.SIGKILL
-            await host.end_daemon(how)
+            signal_number = signal.SIGTERM if planned else signal.SIGKILL
+            await host.stop_daemon(signal_number)
             await asyncio.sleep(fault.lasts_s)
             await host.start_daemon(fault.clock_s)
-            await asyncio.sleep(RESTART_S)
+            await asyncio.sleep(STARTUP_S)
 
 
 @inject.register
-async def _(fault: plan.TargetFault, world: World) -> None:
-    host = world.fleet[fault.host]
-    async with world.only_one(f'{fault.host} target'):
-        async with world.disrupting(fault.host, f'target {fault.how}'):
+async def _(fault: plan.TargetFault, env: Environment) -> None:
+    host = env.fleet[fault.host]
+    async with env.process_lock(f'{fault.host} target'):
+        async with env.recording_disruption(fault.host, f'target {fault.how}'):
             if fault.how == 'pause':
-                await _paused(host.signal_target, fault.lasts_s)
+                await _pause(host.signal_target, fault.lasts_s)
                 return
-            drains = fault.how == 'drain'
-            how = signal.SIGTERM if drains else signal.SIGKILL
-            await host.end_target(how)
+            graceful = fault.how == 'drain'
+            signal_number = signal.SIGTERM if graceful else signal.SIGKILL
+            await host.stop_target(signal_number)
             await asyncio.sleep(fault.lasts_s)
             await host.start_target(fault.same_id)
-            await asyncio.sleep(RESTART_S)
+            await asyncio.sleep(STARTUP_S)
 
 
 @inject.register
-async def _(fault: plan.StoreFault, world: World) -> None:
-    kv = world.kv
+async def _(fault: plan.StoreFault, env: Environment) -> None:
+    kv = env.kv
     async with (
-        world.only_one('store'),
-        world.disrupting('', f'store {fault.how}'),
+        env.process_lock('store'),
+        env.recording_disruption('', f'store {fault.how}'),
     ):
         match fault.how:
             case 'fail':
@@ -174,83 +176,85 @@
 
 
 @inject.register
-async def _(fault: plan.ConfigChange, world: World) -> None:
-    await world.configure()
+async def _(fault: plan.ConfigChange, env: Environment) -> None:
+    await env.publish_next_version()
 
 
 @inject.register
-async def _(fault: plan.PowerLoss, world: World) -> None:
+async def _(fault: plan.PowerLoss, env: Environment) -> None:
     async with contextlib.AsyncExitStack() as stack:
-        for name in sorted(world.fleet):
-            # Both in one order for all, so that two losses do not wait for
-            # each other.
+        for name in sorted(env.fleet):
+            # Locks are taken in a fixed order, so that overlapping power
+            # losses can't deadlock.
             for process in ('daemon', 'target'):
                 await stack.enter_async_context(
-                    world.only_one(f'{name} {process}')
+                    env.process_lock(f'{name} {process}')
                 )
             await stack.enter_async_context(
-                world.disrupting(name, 'target and daemon lost power')
+                env.recording_disruption(name, 'target and daemon lost power')
             )
-        hosts = world.fleet.values()
+        hosts = env.fleet.values()
         await asyncio.gather(
-            *(one.end_daemon(signal.SIGKILL) for one in hosts),
-            *(one.end_target(signal.SIGKILL) for one in hosts),
+            *(one.stop_daemon(signal.SIGKILL) for one in hosts),
+            *(one.stop_target(signal.SIGKILL) for one in hosts),
         )
         await asyncio.sleep(fault.lasts_s)
-        late = [world.fleet[name] for name in fault.stay_away]
+        delayed = [env.fleet[name] for name in fault.stay_away]
         for host in hosts:
-            if host not in late:
-                await _start(host)
-        await asyncio.sleep(plan.AWAY_S)
-        for host in late:
-            await _start(host)
-        await asyncio.sleep(RESTART_S)
+            if host not in delayed:
+                await _start_both(host)
+        await asyncio.sleep(plan.LATE_START_S)
+        for host in delayed:
+            await _start_both(host)
+        await asyncio.sleep(STARTUP_S)
 
 
-async def _start(host: hosts.Host) -> None:
+async def _start_both(host: hosts.Host) -> None:
     await host.start_daemon()
     await host.start_target(same_id=False)
 
 
 @inject.register
-async def _(fault: plan.TurnedAway, world: World) -> None:
-    kv = world.kv
+async def _(fault: plan.TurnedAway, env: Environment) -> None:
+    kv = env.kv
     async with contextlib.AsyncExitStack() as stack:
         for name in fault.hosts:
             await stack.enter_async_context(
-                world.disrupting(name, 'store refuses this host')
+                env.recording_disruption(name, 'store rejects this host')
             )
-            link = world.fleet[name].links['store']
-            link.refuse = True
+            link = env.fleet[name].links['store']
+            link.reset_new_connections = True
             link.reset()
-            record = kv.items.get(f'{HOST_RECORDS}{name}')
+            record = kv.items.get(f'{HOST_RECORD_PREFIX}{name}')
             if record is not None:
                 await kv.end_lease(record.lease)
         await asyncio.sleep(fault.lasts_s)
         for name in fault.hosts:
-            world.fleet[name].links['store'].refuse = False
+            env.fleet[name].links['store'].reset_new_connections = False
 
 
 @inject.register
-async def _(fault: plan.Shedding, world: World) -> None:
+async def _(fault: plan.Shedding, env: Environment) -> None:
     for name in fault.hosts:
-        world.fleet[name].signal_target(signal.SIGUSR1)
+        env.fleet[name].signal_target(signal.SIGUSR1)
     await asyncio.sleep(fault.lasts_s)
     for name in fault.hosts:
-        world.fleet[name].signal_target(signal.SIGUSR2)
+        env.fleet[name].signal_target(signal.SIGUSR2)
 
 
 @inject.register
-async def _(fault: plan.ScaleIn, world: World) -> None:
-    host = world.fleet[fault.host]
-    async with world.only_one(f'{fault.host} target'):
-        async with world.disrupting(fault.host, 'target leaves for good'):
-            host.retired = True
-            await host.end_target(signal.SIGTERM)
+async def _(fault: plan.ScaleIn, env: Environment) -> None:
+    host = env.fleet[fault.host]
+    async with env.process_lock(f'{fault.host} target'):
+        async with env.recording_disruption(
+            fault.host, 'target removed for good'
+        ):
+            host.target_removed = True
+            await host.stop_target(signal.SIGTERM)
 
 
 @inject.register
-async def _(fault: plan.RetryAbuse, world: World) -> None:
-    world.newest.abused = True
+async def _(fault: plan.RetryAbuse, env: Environment) -> None:
+    env.shared.retry_abuse = True
     await asyncio.sleep(fault.lasts_s)
-    world.newest.abused = False
+    env.shared.retry_abuse = False
--- a/testing/soak/hosts.py
+++ b/testing/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of a run: a daemon and a target as processes, relays between."""
+"""Hosts of a run: daemon and target processes connected by relays."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,19 +15,21 @@
 from testing.soak import relay
 from testing.soak import worker_program
 
-REQUESTS, READINESS, ANNOUNCEMENTS, PEERS, METRICS = range(20_001, 20_006)
-STORE, TARGET = 20_010, 20_020
-CLOCK_VARIABLE = 'SOAK_CLOCK_OFFSET_S'
-CLOCK_FOLDER = pathlib.Path(__file__).parent / 'clock'
-"""Holds a ``sitecustomize`` that shifts the wall clock of a process."""
-GRACE_S = 6.0
-STOP_TIMEOUT_S = GRACE_S + 4.0
-ROOT = pathlib.Path(__file__).parents[2]
+REQUESTS, READINESS_PORT, ANNOUNCEMENTS_PORT, PEERS_PORT, METRICS_PORT = range(
+    20_001, 20_006
+)
+STORE_PORT, TARGET = 20_010, 20_020
+CLOCK_OFFSET_VARIABLE = 'SOAK_CLOCK_OFFSET_S'
+CLOCK_SHIM_FOLDER = pathlib.Path(__file__).parent / 'clock'
+"""Holds a ``sitecustomize`` module that shifts a process's wall clock."""
+SHUTDOWN_GRACE_S = 6.0
+STOP_TIMEOUT_S = SHUTDOWN_GRACE_S + 4.0
+REPO_ROOT = pathlib.Path(__file__).parents[2]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where a host stands, and where its files are."""
+    """Address, availability zone, service and file location of a host."""
 
     name: str
     network: str
@@ -42,39 +44,39 @@
 
     @property
     def behind(self) -> str:
-        """The address behind the relays."""
+        """The address that only the relays connect to."""
         return f'{self.network}.{100 + self.number}'
 
 
 class Host:
-    """Starts, signals and ends the processes of one host."""
+    """Starts, signals and stops the processes of one host."""
 
-    def __init__(self, place: Place, seen: records.Records) -> None:
-        self.place = place
-        self.seen = seen
+    def __init__(self, spec: Place, observed: records.Records) -> None:
+        self.place = spec
+        self.observed = observed
         self.daemon: asyncio.subprocess.Process | None = None
         self.target: asyncio.subprocess.Process | None = None
         self.links: dict[str, relay.Relay] = {}
-        self.births = 1
-        self.retired = False
-        self.watching: set[asyncio.Task[None]] = set()
-        self.expected: set[int] = set()
+        self.target_generation = 1
+        self.target_removed = False
+        self.exit_watchers: set[asyncio.Task[None]] = set()
+        self.expected_exits: set[int] = set()
 
     @property
-    def notes(self) -> pathlib.Path:
+    def notes_path(self) -> pathlib.Path:
         return self.place.folder / f'{self.place.name}.runs'
 
     @property
     def instance(self) -> str:
-        return f'i-{self.place.name}-{self.births}'
+        return f'i-{self.place.name}-{self.target_generation}'
 
-    async def start_daemon(self, clock_s: float = 0.0) -> None:
+    async def start_daemon(self, clock_offset_s: float = 0.0) -> None:
         settings = self._write_settings()
         log = open(self.place.folder / f'{self.place.name}.log', 'ab')
-        path = f'{CLOCK_FOLDER}:{ROOT / "src"}:{ROOT}'
+        path = f'{CLOCK_SHIM_FOLDER}:{REPO_ROOT / "src"}:{REPO_ROOT}'
         environment = os.environ | {
             'PYTHONPATH': path,
-            CLOCK_VARIABLE: str(clock_s),
+            CLOCK_OFFSET_VARIABLE: str(clock_offset_s),
         }
         with contextlib.closing(log):
             self.daemon = await asyncio.create_subprocess_exec(
@@ -84,126 +86,133 @@
                 stderr=log,
                 env=environment,
             )
-        task = asyncio.ensure_future(self._watch(self.daemon))
-        self.watching.add(task)
-        task.add_done_callback(self.watching.discard)
+        task = asyncio.ensure_future(self._record_unexpected_exit(self.daemon))
+        self.exit_watchers.add(task)
+        task.add_done_callback(self.exit_watchers.discard)
 
     async def start_target(self, same_id: bool) -> None:
-        """Start the target, unless it was taken away for good."""
-        if self.retired:
+        """Start the target, unless a scale-in removed it."""
+        if self.target_removed:
             return
         if not same_id:
-            self.births += 1
-        place = self.place
-        arguments = {
+            self.target_generation += 1
+        spec = self.place
+        options = {
             'instance': self.instance,
-            'service': place.service,
-            'bind': f'{place.behind}:{TARGET}',
-            'announced': f'{place.address}:{TARGET}',
-            'beside': f'{place.address}:{ANNOUNCEMENTS}',
-            'notes': str(self.notes),
+            'service': spec.service,
+            'bind': f'{spec.behind}:{TARGET}',
+            'announced': f'{spec.address}:{TARGET}',
+            'beside': f'{spec.address}:{ANNOUNCEMENTS_PORT}',
+            'notes': str(self.notes_path),
         }
-        log = open(place.folder / f'{place.name}.target.log', 'ab')
+        log = open(spec.folder / f'{spec.name}.target.log', 'ab')
         with contextlib.closing(log):
             self.target = await asyncio.create_subprocess_exec(
                 sys.executable,
                 *('-m', 'testing.soak.worker_program'),
-                *(f'--{name}={arguments[name]}' for name in arguments),
+                *(f'--{name}={options[name]}' for name in options),
                 stdout=log,
                 stderr=log,
-                env=os.environ | {'PYTHONPATH': f'{ROOT / "src"}:{ROOT}'},
+                env=os.environ
+                | {'PYTHONPATH': f'{REPO_ROOT / "src"}:{REPO_ROOT}'},
             )
 
-    async def end_daemon(self, how: signal.Signals) -> None:
-        """Send a signal that ends the daemon, and wait for its end."""
+    async def stop_daemon(self, signal_number: signal.Signals) -> None:
+        """Send a terminating signal to the daemon and wait for its exit."""
         process = self.daemon
         if process is None or process.returncode is not None:
             return
-        self.expected.add(process.pid)
-        await _end(process, how)
+        self.expected_exits.add(process.pid)
+        await _terminate(process, signal_number)
 
-    async def end_target(self, how: signal.Signals) -> None:
+    async def stop_target(self, signal_number: signal.Signals) -> None:
         if self.target is not None and self.target.returncode is None:
-            await _end(self.target, how)
+            await _terminate(self.target, signal_number)
 
-    def signal_daemon(self, how: signal.Signals) -> None:
-        """Signal the daemon, unless it has ended."""
+    def signal_daemon(self, signal_number: signal.Signals) -> None:
+        """Signal the daemon, unless it has exited."""
         if self.daemon is not None and self.daemon.returncode is None:
-            self.daemon.send_signal(how)
+            self.daemon.send_signal(signal_number)
 
-    def signal_target(self, how: signal.Signals) -> None:
-        """Signal the target, unless it has ended."""
+    def signal_target(self, signal_number: signal.Signals) -> None:
+        """Signal the target, unless it has exited."""
         if self.target is not None and self.target.returncode is None:
-            self.target.send_signal(how)
+            self.target.send_signal(signal_number)
 
-    def read_notes(self) -> None:
-        """Add what the targets noted to what was seen."""
-        if not self.notes.exists():
+    def load_target_notes(self) -> None:
+        """Add the notes that the targets wrote to the records."""
+        if not self.notes_path.exists():
             return
-        for line in self.notes.read_bytes().splitlines():
-            told = json.loads(line)
-            if told['event'] == 'acknowledged':
-                self.seen.left.append(
-                    records.Left(told['at'], self.place.name, told['instance'])
+        for line in self.notes_path.read_bytes().splitlines():
+            entry = json.loads(line)
+            if entry['event'] == 'acknowledged':
+                self.observed.drain_acks.append(
+                    records.DrainAck(
+                        entry['at'], self.place.name, entry['instance']
+                    )
                 )
                 continue
-            self.seen.ran.append(_ran(self.place.name, told))
+            self.observed.executions.append(
+                _parse_execution(self.place.name, entry)
+            )
 
-    async def _watch(self, process: asyncio.subprocess.Process) -> None:
+    async def _record_unexpected_exit(
+        self, process: asyncio.subprocess.Process
+    ) -> None:
         code = await process.wait()
-        if process.pid not in self.expected:
-            self.seen.exits.append(
-                records.Exit(time.monotonic(), self.place.name, code)
+        if process.pid not in self.expected_exits:
+            self.observed.exits.append(
+                records.UnexpectedExit(time.monotonic(), self.place.name, code)
             )
 
     def _write_settings(self) -> pathlib.Path:
-        place = self.place
+        spec = self.place
         listen = {
-            'requests': f'{place.address}:{REQUESTS}',
-            'readiness': f'{place.address}:{READINESS}',
-            'announcements': f'{place.address}:{ANNOUNCEMENTS}',
-            'peers': f'{place.behind}:{PEERS}',
-            'metrics': f'{place.address}:{METRICS}',
+            'requests': f'{spec.address}:{REQUESTS}',
+            'readiness': f'{spec.address}:{READINESS_PORT}',
+            'announcements': f'{spec.address}:{ANNOUNCEMENTS_PORT}',
+            'peers': f'{spec.behind}:{PEERS_PORT}',
+            'metrics': f'{spec.address}:{METRICS_PORT}',
         }
         settings = {
-            'host': place.name,
-            'availability_zone': place.zone,
-            'address': place.address,
-            'service': place.service,
-            'target': f'{place.address}:{TARGET}',
+            'host': spec.name,
+            'availability_zone': spec.zone,
+            'address': spec.address,
+            'service': spec.service,
+            'target': f'{spec.address}:{TARGET}',
             'listen': listen,
-            'store': f'{place.behind}:{STORE}',
-            'shutdown': {'grace_s': GRACE_S},
+            'store': f'{spec.behind}:{STORE_PORT}',
+            'shutdown': {'grace_s': SHUTDOWN_GRACE_S},
         }
-        path = place.folder / f'{place.name}.json'
+        path = spec.folder / f'{spec.name}.json'
         path.write_text(json.dumps(settings))
         return path
 
 
-def _ran(host: str, told: dict[str, object]) -> records.Ran:
-    instance = str(told['instance'])
-    attempt = str(told['attempt'])
-    return records.Ran(
-        at=float(str(told['at'])),
+def _parse_execution(host: str, entry: dict[str, object]) -> records.Execution:
+    instance = str(entry['instance'])
+    attempt = str(entry['attempt'])
+    return records.Execution(
+        at=float(str(entry['at'])),
         host=host,
         instance=instance,
-        service=str(told['service']),
+        service=str(entry['service']),
         attempt=attempt,
-        method=str(told['method']),
-        target=str(told['target']),
-        digest=str(told['digest']),
-        told_ms=int(str(told['told_ms'])),
-        answer=worker_program.made_by(instance, attempt).decode(),
+        method=str(entry['method']),
+        target=str(entry['target']),
+        digest=str(entry['digest']),
+        remaining_ms=int(str(entry['told_ms'])),
+        response_body=worker_program.response_body(instance, attempt).decode(),
     )
 
 
-async def _end(
-    process: asyncio.subprocess.Process, how: signal.Signals
+async def _terminate(
+    process: asyncio.subprocess.Process, signal_number: signal.Signals
 ) -> None:
     with contextlib.suppress(ProcessLookupError):
-        # A paused process takes no signal but this and SIGKILL.
+        # A stopped process handles no signal but SIGCONT and SIGKILL.
         process.send_signal(signal.SIGCONT)
-        process.send_signal(how)
+        process.send_signal(signal_number)
     try:
         await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
     except TimeoutError:
@@ -213,26 +222,26 @@
 
 @contextlib.asynccontextmanager
 async def running(
-    place: Place, store: str, seen: records.Records
+    spec: Place, store: str, observed: records.Records
 ) -> AsyncIterator[Host]:
-    """Start a host's processes and relays; ends all it started."""
-    host = Host(place, seen)
+    """Start the relays and processes of a host; stop them on exit."""
+    host = Host(spec, observed)
     store_address, _, store_port = store.rpartition(':')
-    ways = {
-        'store': (place.behind, STORE, store_address, int(store_port)),
-        'peers': (place.address, PEERS, place.behind, PEERS),
-        'target': (place.address, TARGET, place.behind, TARGET),
+    relay_endpoints = {
+        'store': (spec.behind, STORE_PORT, store_address, int(store_port)),
+        'peers': (spec.address, PEERS_PORT, spec.behind, PEERS_PORT),
+        'target': (spec.address, TARGET, spec.behind, TARGET),
     }
     async with contextlib.AsyncExitStack() as stack:
-        for name in ways:
+        for name in relay_endpoints:
             host.links[name] = await stack.enter_async_context(
-                relay.relaying(*ways[name])
+                relay.serving(*relay_endpoints[name])
             )
         try:
             await host.start_daemon()
             await host.start_target(same_id=True)
             yield host
         finally:
-            await host.end_target(signal.SIGKILL)
-            await host.end_daemon(signal.SIGKILL)
-            await asyncio.gather(*host.watching)
+            await host.stop_target(signal.SIGKILL)
+            await host.stop_daemon(signal.SIGKILL)
+            await asyncio.gather(*host.exit_watchers)
--- a/testing/soak/plan.py
+++ b/testing/soak/plan.py
@@ -1,18 +1,23 @@
-"""The faults of a run, drawn from its seed: nothing but data."""
+"""Descriptions of the faults of a run, generated from its seed."""
 
 import dataclasses
 import random
 
 EPISODES_PER_S = 0.6
-"""With their repeats some two faults begin a second, so that they overlap."""
+"""With repeats, some two faults start per second, so that they overlap."""
 MAX_REPEATS = 3
-REPEAT_GAP_S = (0.1, 1.5)
-LASTS_S = (0.2, 3.0)
+REPEAT_GAP_RANGE_S = (0.1, 1.5)
+DURATION_RANGE_S = (0.2, 3.0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """:param at: seconds from the start; `lasts_s` until it is healed."""
+    """A fault on a host.
+
+    :param at: seconds from the start of fault injection.
+    :param lasts_s: seconds until the fault is reverted.
+    :param host: empty for the store or the whole fleet.
+    """
 
     at: float
     lasts_s: float
@@ -25,7 +30,7 @@
 
     :param link: ``store``, ``peers`` or ``target``.
     :param how: ``delay``, ``reset``, ``cut-up``, ``cut-down``, ``refuse``
-        or ``silence`` (what is open stays silent, new ones work).
+        or ``silence`` (open connections forward nothing more, new ones work).
     """
 
     link: str
@@ -37,7 +42,7 @@
 class DaemonFault(Fault):
     """A signal to a daemon: ``stop``, ``kill``, ``pause`` or ``reload``.
 
-    :param clock_s: by how much its clock is off after the restart.
+    :param clock_s: offset of its wall clock after a restart.
     """
 
     how: str
@@ -48,7 +53,7 @@
 class TargetFault(Fault):
     """A signal to a target: ``drain``, ``kill`` or ``pause``.
 
-    :param same_id: it comes back under the id that it had.
+    :param same_id: it restarts under its previous instance id.
     """
 
     how: str
@@ -60,7 +65,7 @@
     """The store misbehaves.
 
     :param how: ``fail``, ``hang``, ``lose-answers``, ``compact`` or
-        ``lapse`` (all leases end).
+        ``lapse`` (all leases expire).
     """
 
     how: str
@@ -68,14 +73,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigChange(Fault):
-    """A new version: a route comes, one goes."""
+    """A new configuration version, which adds a route and drops one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PowerLoss(Fault):
-    """All processes of all hosts end at once.
+    """All processes of all hosts are killed at once.
 
-    :param stay_away: hosts that come back ``AWAY_S`` after the others.
+    :param stay_away: hosts that start ``LATE_START_S`` after the others.
     """
 
     stay_away: tuple[str, ...]
@@ -83,67 +88,78 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnedAway(Fault):
-    """The store refuses some hosts, whose leases end, and serves others."""
+    """The store rejects some hosts and expires their leases."""
 
     hosts: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shedding(Fault):
-    """Targets of some hosts turn all requests away, unrun, and look well."""
+    """Targets of some hosts reject all requests, but announce as ready."""
 
     hosts: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScaleIn(Fault):
-    """A target leaves and does not come back."""
+    """A target drains and is not started again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryAbuse(Fault):
-    """Refused callers ask again at once, whatever they are told."""
+    """Callers retry rejected requests at once, ignoring ``Retry-After``."""
 
 
-AWAY_S = 3.0
+LATE_START_S = 3.0
 FLEET_EPISODES = 4
 
 
-def draw(seed: int, seconds: float, hosts: list[str]) -> list[Fault]:
-    """Return the faults of `seed` in order of time."""
-    dice = random.Random(seed)
+def generate_faults(
+    seed: int, seconds: float, hosts: list[str]
+) -> list[Fault]:
+    """Return the faults of `seed`, ordered by time."""
+    rng = random.Random(seed)
     faults: list[Fault] = []
     for _ in range(round(seconds * EPISODES_PER_S)):
-        at = dice.uniform(0.0, seconds)
-        repeats = dice.randint(1, MAX_REPEATS)
-        make = dice.choices(
-            [_link, _daemon, _target, _store, _config], [6, 5, 4, 2, 3]
+        at = rng.uniform(0.0, seconds)
+        repeats = rng.randint(1, MAX_REPEATS)
+        make = rng.choices(
+            [
+                _link_fault,
+                _daemon_fault,
+                _target_fault,
+                _store_fault,
+                _config_change,
+            ],
+            [6, 5, 4, 2, 3],
         )[0]
-        spread = dice.random() < 0.5
-        host = dice.choice(hosts)
+        spread = rng.random() < 0.5
+        host = rng.choice(hosts)
         for _ in range(repeats):
-            lasts_s = dice.uniform(*LASTS_S)
-            faults.append(make(dice, at, lasts_s, host))
-            at += dice.uniform(*REPEAT_GAP_S)
+            lasts_s = rng.uniform(*DURATION_RANGE_S)
+            faults.append(make(rng, at, lasts_s, host))
+            at += rng.uniform(*REPEAT_GAP_RANGE_S)
             if spread:
-                host = dice.choice(hosts)
+                host = rng.choice(hosts)
     return sorted(faults, key=lambda one: one.at)
 
 
-def draw_fleet(seed: int, seconds: float, hosts: list[str]) -> list[Fault]:
-    """Return faults of many hosts at once, beside those of `draw`.
+def generate_fleet_faults(
+    seed: int, seconds: float, hosts: list[str]
+) -> list[Fault]:
+    """Return faults that affect many hosts at once, ordered by time.
 
-    They have dice of their own, so that seeds that were played without them
-    still draw what they drew.
+    They use a separate random generator, so that `generate_faults` returns
+    the same faults for a seed with and without them.
     """
-    dice = random.Random(f'{seed} fleet')
-    faults: list[Fault] = [ScaleIn(dice.uniform(0, seconds), 0.0, hosts[0])]
+    rng = random.Random(f'{seed} fleet')
+    faults: list[Fault] = [ScaleIn(rng.uniform(0, seconds), 0.0, hosts[0])]
     for _ in range(FLEET_EPISODES):
-        at = dice.uniform(0.0, seconds)
-        lasts_s = dice.uniform(*LASTS_S)
-        some = tuple(dice.sample(hosts, dice.randint(1, len(hosts) - 1)))
+        at = rng.uniform(0.0, seconds)
+        lasts_s = rng.uniform(*DURATION_RANGE_S)
+        some = tuple(rng.sample(hosts, rng.randint(1, len(hosts) - 1)))
         faults.append(
-            dice.choice(
+            rng.choice(
                 [
                     PowerLoss(at, lasts_s, '', some[:1]),
                     TurnedAway(at, lasts_s, '', some),
@@ -155,38 +171,38 @@
     return sorted(faults, key=lambda one: one.at)
 
 
-def _link(
-    dice: random.Random, at: float, lasts_s: float, host: str
+def _link_fault(
+    rng: random.Random, at: float, lasts_s: float, host: str
 ) -> LinkFault:
-    how = dice.choice(
+    how = rng.choice(
         ['delay', 'reset', 'cut-up', 'cut-down', 'refuse', 'silence']
     )
-    link = dice.choice(['store', 'peers', 'peers', 'target'])
-    return LinkFault(at, lasts_s, host, link, how, dice.uniform(0.01, 0.8))
+    link = rng.choice(['store', 'peers', 'peers', 'target'])
+    return LinkFault(at, lasts_s, host, link, how, rng.uniform(0.01, 0.8))
 
 
-def _daemon(
-    dice: random.Random, at: float, lasts_s: float, host: str
+def _daemon_fault(
+    rng: random.Random, at: float, lasts_s: float, host: str
 ) -> DaemonFault:
-    how = dice.choice(['stop', 'kill', 'kill', 'pause', 'reload'])
-    return DaemonFault(at, lasts_s, host, how, dice.uniform(-30.0, 30.0))
+    how = rng.choice(['stop', 'kill', 'kill', 'pause', 'reload'])
+    return DaemonFault(at, lasts_s, host, how, rng.uniform(-30.0, 30.0))
 
 
-def _target(
-    dice: random.Random, at: float, lasts_s: float, host: str
+def _target_fault(
+    rng: random.Random, at: float, lasts_s: float, host: str
 ) -> TargetFault:
-    how = dice.choice(['drain', 'kill', 'pause'])
-    return TargetFault(at, lasts_s, host, how, dice.random() < 0.5)
+    how = rng.choice(['drain', 'kill', 'pause'])
+    return TargetFault(at, lasts_s, host, how, rng.random() < 0.5)
 
 
-def _store(
-    dice: random.Random, at: float, lasts_s: float, host: str
+def _store_fault(
+    rng: random.Random, at: float, lasts_s: float, host: str
 ) -> StoreFault:
-    how = dice.choice(['fail', 'hang', 'lose-answers', 'compact', 'lapse'])
+    how = rng.choice(['fail', 'hang', 'lose-answers', 'compact', 'lapse'])
     return StoreFault(at, lasts_s, '', how)
 
 
-def _config(
-    dice: random.Random, at: float, lasts_s: float, host: str
+def _config_change(
+    rng: random.Random, at: float, lasts_s: float, host: str
 ) -> ConfigChange:
     return ConfigChange(at, 0.0, '')
--- a/testing/soak/records.py
+++ b/testing/soak/records.py
@@ -1,14 +1,14 @@
-"""What callers, targets and the injector saw, on one monotonic clock."""
+"""Records of callers, targets and the injector, on one monotonic clock."""
 
 import dataclasses
 import enum
 
-KEPT_ROUTES = 3
+KEPT_VERSIONED_ROUTES = 3
 """A versioned route is dropped by the third version after its own."""
 
 
 class Kind(enum.Enum):
-    """What a route allows."""
+    """Whether a route allows a request to run more than once."""
 
     IDEMPOTENT = 'read'
     ONCE = 'write'
@@ -27,10 +27,10 @@
 class Asked:
     """One request of a caller.
 
-    :param host: whose ingress took it.
-    :param sent: when its last byte was written, seconds.
-    :param deadline_s: time that the caller gave it.
-    :param proof: the target that the answer names; empty for none.
+    :param host: the host whose ingress received it.
+    :param sent: time in seconds when its last byte was written.
+    :param deadline_s: time from sending until its deadline.
+    :param proof: the target that signed the response; empty if unsigned.
     """
 
     attempt: str
@@ -50,11 +50,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ran:
-    """One request that a target began to run.
+class Execution:
+    """A request that a target started to run.
 
-    :param told_ms: time left, as the target was told.
-    :param answer: the body that it made; empty where it made none.
+    :param remaining_ms: remaining time in the request header that the target
+        received.
+    :param response_body: body that this target returns for the attempt.
     """
 
     at: float
@@ -65,13 +66,13 @@
     method: str
     target: str
     digest: str
-    told_ms: int
-    answer: str
+    remaining_ms: int
+    response_body: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Left:
-    """A target's leave was acknowledged by the daemon beside it."""
+class DrainAck:
+    """The daemon of its host acknowledged that a target is draining."""
 
     at: float
     host: str
@@ -80,10 +81,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disruption:
-    """A fault from its start until it was healed.
+    """A fault, from its injection until it was reverted.
 
     :param host: empty for the store or every host.
-    :param planned: a stop that was asked for, or a reload.
+    :param planned: a graceful stop or a reload.
     """
 
     start: float
@@ -94,8 +95,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Exit:
-    """A daemon ended that nobody had stopped."""
+class UnexpectedExit:
+    """A daemon exited without being stopped by the injector."""
 
     at: float
     host: str
@@ -104,16 +105,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Records:
-    """Everything seen in one run.
+    """All records of one run.
 
-    :param calm_from: when all faults were healed for good.
+    :param faults_ended_at: time when the last fault was reverted.
     """
 
-    asked: list[Asked] = dataclasses.field(default_factory=list)
-    ran: list[Ran] = dataclasses.field(default_factory=list)
-    left: list[Left] = dataclasses.field(default_factory=list)
+    requests: list[Asked] = dataclasses.field(default_factory=list)
+    executions: list[Execution] = dataclasses.field(default_factory=list)
+    drain_acks: list[DrainAck] = dataclasses.field(default_factory=list)
     disruptions: list[Disruption] = dataclasses.field(default_factory=list)
-    exits: list[Exit] = dataclasses.field(default_factory=list)
+    exits: list[UnexpectedExit] = dataclasses.field(default_factory=list)
     versions: dict[int, float] = dataclasses.field(default_factory=dict)
-    calm_from: float = 0.0
+    faults_ended_at: float = 0.0
     ended: float = 0.0
--- a/testing/soak/relay.py
+++ b/testing/soak/relay.py
@@ -1,108 +1,112 @@
-"""A relay on loopback through which faults are put into connections."""
+"""A TCP relay on loopback that injects connection faults."""
 
 import asyncio
 from collections.abc import AsyncIterator
 import contextlib
 import dataclasses
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Pair:
-    """A connection and the one behind it.
+class ConnectionPair:
+    """A client connection and its upstream connection.
 
-    :param silent: nothing is passed on any more, for good.
+    :param blackholed: data is read and discarded in both directions.
     """
 
-    front: asyncio.StreamWriter
-    back: asyncio.StreamWriter
-    silent: bool = False
+    client: asyncio.StreamWriter
+    upstream: asyncio.StreamWriter
+    blackholed: bool = False
 
     def abort(self) -> None:
-        self.front.transport.abort()
-        self.back.transport.abort()
+        self.client.transport.abort()
+        self.upstream.transport.abort()
 
 
 class Relay:
-    """Passes connections on from one address to another.
+    """Forwards connections to an address.
 
-    :param delay_s: each chunk is held so long.
-    :param refuse: new connections are reset.
+    :param delay_s: delay of each forwarded chunk.
+    :param reset_new_connections: reset connections as they are accepted.
+    :param to_upstream_open: cleared to suspend forwarding to the upstream.
+    :param to_client_open: cleared to suspend forwarding to the client.
     """
 
     def __init__(self, address: str, port: int) -> None:
         self.address = address
         self.port = port
         self.delay_s = 0.0
-        self.refuse = False
-        self.open_up = asyncio.Event()
-        self.open_down = asyncio.Event()
-        self.open_up.set()
-        self.open_down.set()
-        self.pairs: set[Pair] = set()
+        self.reset_new_connections = False
+        self.to_upstream_open = asyncio.Event()
+        self.to_client_open = asyncio.Event()
+        self.to_upstream_open.set()
+        self.to_client_open.set()
+        self.pairs: set[ConnectionPair] = set()
 
     def reset(self) -> None:
         for pair in list(self.pairs):
             pair.abort()
 
-    def silence(self) -> None:
+    def blackhole(self) -> None:
         for pair in self.pairs:
-            pair.silent = True
+            pair.blackholed = True
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.refuse:
+        if self.reset_new_connections:
             writer.transport.abort()
             return
         try:
-            behind, back = await asyncio.open_connection(
+            upstream_reader, upstream = await asyncio.open_connection(
                 self.address, self.port
             )
         except OSError:
             writer.transport.abort()
             return
-        pair = Pair(writer, back)
+        pair = ConnectionPair(writer, upstream)
         self.pairs.add(pair)
         try:
             await asyncio.gather(
-                self._pump(pair, reader, back, self.open_up),
-                self._pump(pair, behind, writer, self.open_down),
+                self._forward(pair, reader, upstream, self.to_upstream_open),
+                self._forward(
+                    pair, upstream_reader, writer, self.to_client_open
+                ),
             )
         finally:
             self.pairs.discard(pair)
             writer.close()
-            back.close()
+            upstream.close()
 
-    async def _pump(
+    async def _forward(
         self,
-        pair: Pair,
+        pair: ConnectionPair,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        gate: asyncio.Event,
+        is_open: asyncio.Event,
     ) -> None:
-        """Pass on one direction; a reset on either side resets both."""
+        """Forward one direction; a reset on either side resets both."""
         try:
-            while chunk := await reader.read(CHUNK):
+            while chunk := await reader.read(CHUNK_BYTES):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                await gate.wait()
-                if not pair.silent:
+                await is_open.wait()
+                if not pair.blackholed:
                     writer.write(chunk)
                     await writer.drain()
-            await gate.wait()
-            if not pair.silent and writer.can_write_eof():
+            await is_open.wait()
+            if not pair.blackholed and writer.can_write_eof():
                 writer.write_eof()
         except OSError:
             pair.abort()
 
 
 @contextlib.asynccontextmanager
-async def relaying(
-    at: str, at_port: int, address: str, port: int
+async def serving(
+    listen_address: str, listen_port: int, address: str, port: int
 ) -> AsyncIterator[Relay]:
-    """Relay `at` to `address`; both are loopback addresses."""
+    """Relay a listening loopback address to another one."""
     relay = Relay(address, port)
     connections: set[asyncio.Task[None]] = set()
 
@@ -113,7 +117,7 @@
         connections.add(task)
         task.add_done_callback(connections.discard)
 
-    server = await asyncio.start_server(accept, at, at_port)
+    server = await asyncio.start_server(accept, listen_address, listen_port)
     try:
         yield relay
     finally:
--- a/testing/soak/run.py
+++ b/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak, from its seed to its verdict."""
+"""Runs the soak for one seed and evaluates the records."""
 
 import asyncio
 from collections.abc import Iterator
@@ -31,21 +31,21 @@
 """Availability zone and service of each host."""
 CALLERS_PER_HOST = 3
 WARM_UP_S = 3.0
-OWN_WORK_SHARE = 0.5
-"""A stall with more processor time of its own than this part of it is the
-daemon's own doing."""
-TICK_S, STALL_S = 0.05, 0.25
-"""The soak looks at its own clock so often; where it wakes later than by
-``STALL_S``, the machine gave it no processor, nor can it have given any to
-the processes under test with certainty."""
-AFTERWARDS_S = promises.RECOVERY_S + 4.0
+MAX_STALL_CPU_SHARE = 0.5
+"""A stall during which the daemon used CPU time for more than this share is
+a fault of the daemon, not a lack of CPU time on the machine."""
+STALL_CHECK_INTERVAL_S, STALL_THRESHOLD_S = 0.05, 0.25
+"""The soak checks its own clock at this interval.  If a wake-up is later than
+the threshold, the machine gave it no CPU time, and the processes under test
+may have had none either."""
+RECOVERY_PHASE_S = promises.RECOVERY_S + 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
-    """What came out of a run.
+class RunResult:
+    """The outcome of a run.
 
-    :param broken: empty if every promise was kept.
+    :param broken: violated invariants.
     """
 
     seed: int
@@ -53,11 +53,14 @@
     asked: int
     answered: int
     served: int
-    broken: list[promises.Broken]
+    broken: list[promises.Violation]
 
 
 def network() -> str:
-    """Return a loopback network that no other run of this machine uses."""
+    """Return a loopback network derived from the process id.
+
+    Concurrent runs on one machine use different networks.
+    """
     pid = os.getpid()
     return f'127.{1 + pid // 250 % 250}.{1 + pid % 250}'
 
@@ -67,61 +70,61 @@
     seconds: float,
     folder: pathlib.Path,
     fleet_faults: bool = False,
-) -> Verdict:
-    """Play a seed; the processes' logs stay in `folder`.
+) -> RunResult:
+    """Run a seed; the logs of the processes are written to `folder`.
 
-    :param fleet_faults: those of ``plan.draw_fleet`` as well.
+    :param fleet_faults: inject ``plan.generate_fleet_faults`` as well.
     """
-    # Targets inherit it; one that is told to shed before it listens to the
-    # signal would end.
+    # Targets inherit these dispositions.  Without them, a target that is
+    # signalled to shed before it has installed its handlers would exit.
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     signal.signal(signal.SIGUSR2, signal.SIG_IGN)
     folder.mkdir(parents=True, exist_ok=True)
-    seen = records.Records()
+    observed = records.Records()
     kv = kv_standin.Kv()
-    newest = callers.Newest()
+    shared = callers.SharedState()
     names = [f'h{number}' for number in range(1, len(LAYOUT) + 1)]
-    drawn = plan.draw(seed, seconds, names)
+    fault_plan = plan.generate_faults(seed, seconds, names)
     if fleet_faults:
-        drawn += plan.draw_fleet(seed, seconds, names)
+        fault_plan += plan.generate_fleet_faults(seed, seconds, names)
     async with contextlib.AsyncExitStack() as stack:
         store = await stack.enter_async_context(kv_standin.serving(kv))
         fleet: dict[str, hosts.Host] = {}
-        world = faults.World(fleet, kv, seen, newest)
-        await world.configure()
-        for place in _places(names, folder):
-            fleet[place.name] = await stack.enter_async_context(
-                hosts.running(place, store, seen)
+        env = faults.Environment(fleet, kv, observed, shared)
+        await env.publish_next_version()
+        for spec in _host_specs(names, folder):
+            fleet[spec.name] = await stack.enter_async_context(
+                hosts.running(spec, store, observed)
             )
-        await _play(seed, drawn, world)
+        await _run_faults(seed, fault_plan, env)
     for host in fleet.values():
-        host.read_notes()
-        seen.disruptions += _stalls(host)
-    verdict = _judge(seed, drawn, seen, folder)
-    _write(verdict, seen, drawn, folder)
-    return verdict
+        host.load_target_notes()
+        observed.disruptions += _stalls_without_cpu(host)
+    result = _evaluate(seed, fault_plan, observed, folder)
+    _write_records(result, observed, fault_plan, folder)
+    return result
 
 
-def _stalls(host: hosts.Host) -> Iterator[records.Disruption]:
-    """Yield when a daemon got no processor, by its own account.
+def _stalls_without_cpu(host: hosts.Host) -> Iterator[records.Disruption]:
+    """Yield the stalls in a daemon's log during which it got no CPU time.
 
-    One that was busy itself all the while is no disruption but a fault.
+    A stall in which the daemon itself was busy is no disruption.
     """
     boot_offset_s = time.clock_gettime(time.CLOCK_BOOTTIME) - time.monotonic()
     path = host.place.folder / f'{host.place.name}.log'
     for line in path.read_text().splitlines():
         if '"event":"stalled"' not in line:
             continue
-        told = json.loads(line)
-        if told['cpu_ms'] > OWN_WORK_SHARE * told['late_ms']:
+        entry = json.loads(line)
+        if entry['cpu_ms'] > MAX_STALL_CPU_SHARE * entry['late_ms']:
             continue
-        end = told['boot_s'] - boot_offset_s
+        end = entry['boot_s'] - boot_offset_s
         yield records.Disruption(
-            end - told['late_ms'] / 1000, end, host.place.name, 'no processor'
+            end - entry['late_ms'] / 1000, end, host.place.name, 'no CPU time'
         )
 
 
-def _places(names: list[str], folder: pathlib.Path) -> list[hosts.Place]:
+def _host_specs(names: list[str], folder: pathlib.Path) -> list[hosts.Place]:
     return [
         hosts.Place(name, network(), number, zone, service, folder)
         for number, (name, (zone, service)) in enumerate(
@@ -130,108 +133,120 @@
     ]
 
 
-async def _play(
-    seed: int, drawn: list[plan.Fault], world: faults.World
+async def _run_faults(
+    seed: int, fault_plan: list[plan.Fault], env: faults.Environment
 ) -> None:
     stop = asyncio.Event()
-    numbers = itertools.count(1)
+    request_numbers = itertools.count(1)
     start = time.monotonic() + WARM_UP_S
-    world.seen.disruptions.append(
+    env.observed.disruptions.append(
         records.Disruption(0.0, start, '', 'warm-up')
     )
-    calling = [
+    caller_tasks = [
         asyncio.ensure_future(
             callers.Caller(
                 host.place,
-                world.seen,
-                world.newest,
+                env.observed,
+                env.shared,
                 random.Random(f'{seed} {name} {index}'),
-                numbers,
-            ).call_until(stop)
+                request_numbers,
+            ).run_until(stop)
         )
-        for name, host in world.fleet.items()
+        for name, host in env.fleet.items()
         for index in range(CALLERS_PER_HOST)
     ]
-    noting = asyncio.ensure_future(_note_stalls(world.seen, [*world.fleet]))
+    stall_recorder = asyncio.ensure_future(
+        _record_own_stalls(env.observed, [*env.fleet])
+    )
     async with asyncio.TaskGroup() as group:
-        for fault in drawn:
-            group.create_task(_at(start, fault, world))
-    world.seen.calm_from = time.monotonic()
-    await asyncio.sleep(AFTERWARDS_S)
+        for fault in fault_plan:
+            group.create_task(_inject_at(start, fault, env))
+    env.observed.faults_ended_at = time.monotonic()
+    await asyncio.sleep(RECOVERY_PHASE_S)
     stop.set()
-    await asyncio.gather(*calling)
-    await tasks.end(noting)
-    world.seen.ended = time.monotonic()
+    await asyncio.gather(*caller_tasks)
+    await tasks.end(stall_recorder)
+    env.observed.ended = time.monotonic()
 
 
-async def _note_stalls(seen: records.Records, names: list[str]) -> None:
-    """Note as a disruption of all hosts when the soak itself stood still."""
+async def _record_own_stalls(
+    observed: records.Records, names: list[str]
+) -> None:
+    """Record stalls of the soak process as disruptions of all hosts."""
     last = time.monotonic()
     while not tasks.cancelled():
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(STALL_CHECK_INTERVAL_S)
         now = time.monotonic()
-        if now - last > STALL_S:
-            seen.disruptions += [
-                records.Disruption(last, now, name, 'soak stood still')
+        if now - last > STALL_THRESHOLD_S:
+            observed.disruptions += [
+                records.Disruption(last, now, name, 'soak process stalled')
                 for name in names
             ]
         last = now
 
 
-async def _at(start: float, fault: plan.Fault, world: faults.World) -> None:
+async def _inject_at(
+    start: float, fault: plan.Fault, env: faults.Environment
+) -> None:
     await asyncio.sleep(max(0.0, start + fault.at - time.monotonic()))
-    await faults.inject(fault, world)
+    await faults.inject(fault, env)
 
 
-def _judge(
+def _evaluate(
     seed: int,
-    drawn: list[plan.Fault],
-    seen: records.Records,
+    fault_plan: list[plan.Fault],
+    observed: records.Records,
     folder: pathlib.Path,
-) -> Verdict:
-    broken = promises.check(seen)
-    broken += _unexpected_output(folder)
-    return Verdict(
+) -> RunResult:
+    broken = promises.check(observed)
+    broken += _find_unhandled_exceptions(folder)
+    return RunResult(
         seed,
-        len(drawn),
-        len(seen.asked),
-        sum(one.ending is records.Ending.ANSWERED for one in seen.asked),
-        sum(one.status == 200 for one in seen.asked),
+        len(fault_plan),
+        len(observed.requests),
+        sum(
+            one.ending is records.Ending.ANSWERED for one in observed.requests
+        ),
+        sum(one.status == 200 for one in observed.requests),
         broken,
     )
 
 
-def _unexpected_output(folder: pathlib.Path) -> list[promises.Broken]:
-    """Return a finding for each log with lines that are no log lines.
+def _find_unhandled_exceptions(
+    folder: pathlib.Path,
+) -> list[promises.Violation]:
+    """Return a violation for each log with a line that is not JSON.
 
-    An exception that nobody handled shows there, and nowhere else.
+    The traceback of an unhandled exception appears only there.
     """
-    found = []
+    violations = []
     for path in sorted(folder.glob('h?.log')):
         for line in path.read_text().splitlines():
             if not line.startswith('{'):
-                found.append(
-                    promises.Broken(
+                violations.append(
+                    promises.Violation(
                         'no exception goes unhandled', 0.0, f'{path}: {line}'
                     )
                 )
                 break
-    return found
+    return violations
 
 
-def _write(
-    verdict: Verdict,
-    seen: records.Records,
-    drawn: list[plan.Fault],
+def _write_records(
+    result: RunResult,
+    observed: records.Records,
+    fault_plan: list[plan.Fault],
     folder: pathlib.Path,
 ) -> None:
-    """Keep all that was seen beside the logs."""
-    told = {
-        'verdict': dataclasses.asdict(verdict),
-        'faults': [[type(one).__name__, repr(one)] for one in drawn],
-        'disruptions': [dataclasses.asdict(one) for one in seen.disruptions],
-        'asked': [repr(one) for one in seen.asked],
-        'left': [dataclasses.asdict(one) for one in seen.left],
-        'versions': seen.versions,
+    """Write all records to a file beside the logs."""
+    content = {
+        'verdict': dataclasses.asdict(result),
+        'faults': [[type(one).__name__, repr(one)] for one in fault_plan],
+        'disruptions': [
+            dataclasses.asdict(one) for one in observed.disruptions
+        ],
+        'asked': [repr(one) for one in observed.requests],
+        'left': [dataclasses.asdict(one) for one in observed.drain_acks],
+        'versions': observed.versions,
     }
-    (folder / 'seen.json').write_text(json.dumps(told, indent=1))
+    (folder / 'seen.json').write_text(json.dumps(content, indent=1))
--- a/testing/soak/worker_program.py
+++ b/testing/soak/worker_program.py
@@ -1,8 +1,8 @@
-"""A target as a process: announces itself, runs requests, notes them.
+"""A target process that announces itself and records the requests it runs.
 
-On SIGTERM it drains: it says so until that is acknowledged, serves on for
-``DRAIN_S``, then leaves and ends.  From SIGUSR1 to SIGUSR2 it turns all
-requests away.
+On SIGTERM it drains: it announces the draining state until the daemon
+acknowledges it, serves for another ``DRAIN_PERIOD_S``, deregisters and exits.
+Between SIGUSR1 and SIGUSR2 it rejects all requests.
 """
 
 import asyncio
@@ -19,34 +19,38 @@
 
 from testing.standins import worker as worker_standin
 
-BEAT_S = 0.4
-DRAIN_S = 2.0
+HEARTBEAT_S = 0.4
+DRAIN_PERIOD_S = 2.0
 CALL_TIMEOUT_S = 1.0
 
 
-class NotingWorker(worker_standin.Worker):
-    """Writes a line for each run before the run has any effect."""
+class RecordingWorker(worker_standin.Worker):
+    """Writes a note for each request before the request has any effect."""
 
     def __init__(
         self, instance: str, service: str, slots: int, path: str
     ) -> None:
         super().__init__(instance, slots)
         self.service = service
-        # Unbuffered: the process may be killed at any moment.
-        self.file = open(path, 'ab', buffering=0)
+        # Unbuffered, as the process may be killed at any time.
+        self.notes_file = open(path, 'ab', buffering=0)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def record(self, event: str, **fields: Any) -> None:
         line = {'at': time.monotonic(), 'event': event}
         line |= {'instance': self.instance, 'service': self.service}
         line |= fields
-        self.file.write(json.dumps(line).encode() + b'\n')
+        self.notes_file.write(json.dumps(line).encode() + b'\n')
 
-    def answer(self, run: worker_standin.Run, body: bytes = b'') -> bytes:
-        return super().answer(run, body or made_by(self.instance, run.attempt))
+    def render_response(
+        self, request: worker_standin.Request, body: bytes = b''
+    ) -> bytes:
+        return super().render_response(
+            request, body or response_body(self.instance, request.attempt)
+        )
 
 
-def made_by(instance: str, attempt: str) -> bytes:
-    """Return the body that a target makes for an attempt."""
+def response_body(instance: str, attempt: str) -> bytes:
+    """Return the response body of a target for an attempt."""
     return f'{instance} ran {attempt}'.encode()
 
 
@@ -54,69 +58,76 @@
     return hashlib.sha256(body).hexdigest()[:16]
 
 
-async def _work(
+async def _sleep_and_respond(
     worker: worker_standin.Worker,
-    run: worker_standin.Run,
+    request: worker_standin.Request,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> bool:
-    query = parse.parse_qs(run.target.partition('?')[2])
+    query = parse.parse_qs(request.target.partition('?')[2])
     await asyncio.sleep(int(query.get('ms', ['0'])[0]) / 1000)
-    writer.write(worker.answer(run))
+    writer.write(worker.render_response(request))
     return True
 
 
-def _noted(action: worker_standin.Action) -> worker_standin.Action:
+def _recorded(action: worker_standin.Action) -> worker_standin.Action:
     async def act(
         worker: worker_standin.Worker,
-        run: worker_standin.Run,
+        request: worker_standin.Request,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        assert isinstance(worker, NotingWorker)
-        worker.note(
+        assert isinstance(worker, RecordingWorker)
+        worker.record(
             'run',
-            attempt=run.attempt,
-            method=run.method,
-            target=run.target,
-            digest=digest(run.body),
-            told_ms=int(run.headers.get('x-deadline-remaining-ms', -1)),
+            attempt=request.attempt,
+            method=request.method,
+            target=request.target,
+            digest=digest(request.body),
+            told_ms=int(request.headers.get('x-deadline-remaining-ms', -1)),
         )
-        return await action(worker, run, reader, writer)
+        return await action(worker, request, reader, writer)
 
     return act
 
 
 class Announcer:
-    """Tells the daemon beside it how the target stands."""
+    """Reports the state of the target to the daemon of its host."""
 
-    def __init__(self, worker: NotingWorker, announced: str, to: str) -> None:
+    def __init__(
+        self,
+        worker: RecordingWorker,
+        announced_address: str,
+        daemon_address: str,
+    ) -> None:
         self.worker = worker
-        self.announced = announced
-        self.address, _, port = to.rpartition(':')
+        self.announced_address = announced_address
+        self.address, _, port = daemon_address.rpartition(':')
         self.port = int(port)
         self.sequence = 0
-        self.born = time.time_ns() // 1_000_000
+        self.started_at_ms = time.time_ns() // 1_000_000
 
-    async def beat(self, state: str) -> bool:
-        """Send a heartbeat; return whether it was acknowledged."""
+    async def send_heartbeat(self, state: str) -> bool:
+        """Send a heartbeat; return whether the daemon acknowledged it."""
         self.sequence += 1
-        told = {
+        payload = {
             'service': self.worker.service,
-            'address': self.announced,
+            'address': self.announced_address,
             'slots': self.worker.slots,
             'state': state,
             'coldRemainingMs': 0,
             'seq': self.sequence,
-            'born': self.born,
+            'born': self.started_at_ms,
         }
-        return await self._call('instances.heartbeat', told)
+        return await self._call('instances.heartbeat', payload)
 
-    async def leave(self) -> bool:
-        return await self._call('instances.leave', {'born': self.born})
+    async def deregister(self) -> bool:
+        return await self._call(
+            'instances.leave', {'born': self.started_at_ms}
+        )
 
-    async def _call(self, call: str, told: dict[str, Any]) -> bool:
-        body = json.dumps(told).encode()
+    async def _call(self, call: str, payload: dict[str, Any]) -> bool:
+        body = json.dumps(payload).encode()
         head = (
             f'POST /-/rpc?call={call}&of={self.worker.instance} HTTP/1.1\r\n'
             f'Host: beside\r\nContent-Length: {len(body)}\r\n\r\n'
@@ -128,10 +139,10 @@
                 )
                 with contextlib.closing(writer):
                     writer.write(head.encode() + body)
-                    answer = await reader.readuntil(b'\r\n\r\n')
+                    response = await reader.readuntil(b'\r\n\r\n')
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return False
-        return answer.split(b' ', 2)[1] == b'200'
+        return response.split(b' ', 2)[1] == b'200'
 
 
 async def _serve(announcer: Announcer, bind: str) -> None:
@@ -145,26 +156,28 @@
     server = await asyncio.start_server(worker.serve, address, int(port))
     async with server:
         while not stop.is_set():
-            await announcer.beat('ready')
+            await announcer.send_heartbeat('ready')
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(stop.wait(), BEAT_S)
-        while not await announcer.beat('draining'):
-            await asyncio.sleep(BEAT_S)
-        worker.note('acknowledged')
-        until = time.monotonic() + DRAIN_S
+                await asyncio.wait_for(stop.wait(), HEARTBEAT_S)
+        while not await announcer.send_heartbeat('draining'):
+            await asyncio.sleep(HEARTBEAT_S)
+        worker.record('acknowledged')
+        until = time.monotonic() + DRAIN_PERIOD_S
         while time.monotonic() < until:
-            await asyncio.sleep(BEAT_S)
-            await announcer.beat('draining')
-        await announcer.leave()
+            await asyncio.sleep(HEARTBEAT_S)
+            await announcer.send_heartbeat('draining')
+        await announcer.deregister()
 
 
 @click.command()
 @click.option('--instance', required=True)
 @click.option('--service', required=True)
-@click.option('--bind', required=True, help='IP:PORT to serve at.')
+@click.option('--bind', required=True, help='IP:PORT to listen on.')
 @click.option('--announced', required=True, help='IP:PORT to announce.')
 @click.option('--beside', required=True, help="The daemon's address.")
-@click.option('--notes', required=True, help='File for a line per run.')
+@click.option(
+    '--notes', required=True, help='File for a line per executed request.'
+)
 @click.option('--slots', default=4)
 def main(
     instance: str,
@@ -175,12 +188,12 @@
     notes: str,
     slots: int,
 ) -> None:
-    """Serve as a target until told to end."""
+    """Serve as a target until SIGTERM."""
     actions = worker_standin.ACTIONS
-    actions['work'] = _work
+    actions['work'] = _sleep_and_respond
     for name in actions:
-        actions[name] = _noted(actions[name])
-    worker = NotingWorker(instance, service, slots, notes)
+        actions[name] = _recorded(actions[name])
+    worker = RecordingWorker(instance, service, slots, notes)
     announcer = Announcer(worker, announced, beside)
     asyncio.run(_serve(announcer, bind))
     os._exit(0)
--- a/testing/standins/__init__.py
+++ b/testing/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of what is others': the platform's store and targets."""
+"""Stand-ins for external services: the platform's store and targets."""
--- a/testing/standins/kv.py
+++ b/testing/standins/kv.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, as its page describes it, with faults."""
+"""A stand-in for the platform's metadata store, with fault injection."""
 
 import asyncio
 import base64
@@ -15,8 +15,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Item:
-    """A stored value; `deleted` stands in the history only."""
+class StoredItem:
+    """A stored value; `deleted` is set only on items in the history."""
 
     key: str
     value: bytes
@@ -24,7 +24,7 @@
     lease: int = 0
     deleted: bool = False
 
-    def told(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         if self.deleted:
             return {
                 'key': self.key,
@@ -41,40 +41,44 @@
 
 
 class Kv:
-    """State, history and switches for faults.
-
-    :param status: answers every call with it, unless 0.
-    :param hang: no call is answered, also not later.
-    :param deaf: no watch is answered; all other calls are.
-    :param held: paths of the calls that got no answer.
+    """State and history of the store, and its injected faults.
+
+    :param status: status of the response to every call; 0 for normal service.
+    :param hang: calls are never answered, even after it is reset.
+    :param hang_watches: watches are never answered; all other calls are.
+    :param lose_answers: calls take effect, but the connection is closed
+        instead of sending the response.
+    :param unanswered_calls: paths of the calls received during `hang`.
     """
 
     def __init__(self) -> None:
-        self.items: dict[str, Item] = {}
-        self.history: list[Item] = []
+        self.items: dict[str, StoredItem] = {}
+        self.history: list[StoredItem] = []
         self.revision = 1
-        self.compacted = 0
+        self.compacted_revision = 0
         self.leases: set[int] = set()
         self.status = 0
         self.hang = False
         self.deaf = False
         self.lose_answers = False
         self.calls: list[str] = []
-        self.held: list[str] = []
+        self.unanswered_calls: list[str] = []
         self.changed = asyncio.Condition()
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> int:
         self.revision += 1
-        item = Item(key, value, self.revision, lease)
+        item = StoredItem(key, value, self.revision, lease)
         self.items[key] = item
-        await self._note(item)
+        await self._append_history(item)
         return self.revision
 
     async def remove(self, key: str) -> None:
         if key in self.items:
             del self.items[key]
             self.revision += 1
-            await self._note(Item(key, b'', self.revision, deleted=True))
+            await self._append_history(
+                StoredItem(key, b'', self.revision, deleted=True)
+            )
 
     async def configure(self, config: dict[str, Any]) -> None:
         await self.put('op/config', json.dumps(config).encode())
@@ -86,17 +90,17 @@
                 await self.remove(item.key)
 
     async def compact(self) -> None:
-        """Forget the history and cut what waits for it."""
-        self.compacted = self.revision
+        """Discard the history, which ends the waiting watches with 410."""
+        self.compacted_revision = self.revision
         self.history.clear()
         async with self.changed:
             self.changed.notify_all()
 
     def waiting_watches(self) -> int:
-        """Return how many watches went out into an outage."""
-        return self.held.count('/-/kv-watch')
+        """Return how many watches were received during `hang`."""
+        return self.unanswered_calls.count('/-/kv-watch')
 
-    async def _note(self, item: Item) -> None:
+    async def _append_history(self, item: StoredItem) -> None:
         self.history.append(item)
         async with self.changed:
             self.changed.notify_all()
@@ -109,19 +113,19 @@
     async def prepare(self) -> None:
         self.kv.calls.append(self.request.path)
         if self.kv.hang:
-            self.kv.held.append(self.request.path)
+            self.kv.unanswered_calls.append(self.request.path)
             await asyncio.Event().wait()
         if self.kv.status:
             self.set_status(self.kv.status)
             self.finish()
 
-    def tell(self, status: int, body: dict[str, Any] | None = None) -> None:
+    def respond(self, status: int, body: dict[str, Any] | None = None) -> None:
         self.set_status(status)
         if self.kv.lose_answers:
             connection = self.request.connection
             assert isinstance(connection, http1connection.HTTP1Connection)
             connection.detach().close()
-            # There is no connection left on which to end the answer.
+            # The connection is detached, so Tornado can't finish the response.
             self._auto_finish = False
             return
         self.set_header('Content-Type', 'application/json')
@@ -136,9 +140,9 @@
     def get(self) -> None:
         item = self.kv.items.get(self.get_argument('key'))
         if item is None:
-            self.tell(404, {'at': self.kv.revision})
+            self.respond(404, {'at': self.kv.revision})
         else:
-            self.tell(200, {**item.told(), 'at': self.kv.revision})
+            self.respond(200, {**item.to_json(), 'at': self.kv.revision})
 
 
 class _Range(_Handler):
@@ -150,10 +154,10 @@
             for key in self.kv.items
             if key.startswith(prefix) and key > after
         )
-        # Small pages, so that reading on is exercised.
-        page = [self.kv.items[key].told() for key in found[:2]]
+        # Small pages, so that clients have to request further pages.
+        page = [self.kv.items[key].to_json() for key in found[:2]]
         more = len(found) > 2
-        self.tell(
+        self.respond(
             200, {'items': page, 'hasMore': more, 'at': self.kv.revision}
         )
 
@@ -167,7 +171,7 @@
 
         def events() -> list[dict[str, Any]]:
             return [
-                item.told()
+                item.to_json()
                 for item in kv.history
                 if item.revision > after and item.key.startswith(prefix)
             ]
@@ -175,14 +179,14 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s), kv.changed:
                 await kv.changed.wait_for(
-                    lambda: bool(events()) or after < kv.compacted
+                    lambda: bool(events()) or after < kv.compacted_revision
                 )
         if kv.deaf:
             await asyncio.Event().wait()
-        if after < kv.compacted:
-            self.tell(410)
+        if after < kv.compacted_revision:
+            self.respond(410)
         else:
-            self.tell(200, {'events': events(), 'at': kv.revision})
+            self.respond(200, {'events': events(), 'at': kv.revision})
 
 
 class _Txn(_Handler):
@@ -191,41 +195,41 @@
         for row in body.get('precondition', []):
             item = kv.items.get(row['key'])
             if (item.revision if item else 0) != row['revision']:
-                self.tell(412, {'items': [item.told()] if item else []})
+                self.respond(412, {'items': [item.to_json()] if item else []})
                 return
         for write in body.get('writes', []):
             if write['lease'] and write['lease'] not in kv.leases:
-                self.tell(404)
+                self.respond(404)
                 return
             value = base64.b64decode(write['value'])
             await kv.put(write['key'], value, write['lease'])
         for key in body.get('remove', []):
             await kv.remove(key)
-        self.tell(200, {'revision': kv.revision})
+        self.respond(200, {'revision': kv.revision})
 
 
 class _Lease(_Handler):
     def post(self) -> None:
         lease = len(self.kv.calls) + 1000
         self.kv.leases.add(lease)
-        self.tell(200, {'lease': lease, 'ttlMs': self.body()['ttlMs']})
+        self.respond(200, {'lease': lease, 'ttlMs': self.body()['ttlMs']})
 
 
 class _Keep(_Handler):
     def post(self, lease: str) -> None:
         known = int(lease) in self.kv.leases
-        self.tell(200 if known else 404, {'ttlMs': 5000})
+        self.respond(200 if known else 404, {'ttlMs': 5000})
 
 
 class _End(_Handler):
     async def delete(self, lease: str) -> None:
         await self.kv.end_lease(int(lease))
-        self.tell(200, {})
+        self.respond(200, {})
 
 
 @contextlib.asynccontextmanager
 async def serving(kv: Kv) -> AsyncIterator[str]:
-    """Serve `kv` on loopback; yields its address."""
+    """Serve `kv` on loopback and yield its address."""
     routes = [
         (r'/-/kv-key', _Key),
         (r'/-/kv-range', _Range),
--- a/testing/standins/worker.py
+++ b/testing/standins/worker.py
@@ -1,7 +1,7 @@
-"""A target that does on request what targets may do wrong.
+"""A stand-in target that misbehaves on request.
 
-The last segment of a request's path names what happens to it, so that a
-test says it where it sends the request; see ``ACTIONS``.
+The last segment of a request's path selects the fault, so that a test names
+it where it sends the request; see ``ACTIONS``.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Run:
-    """A request that the target began to run."""
+class Request:
+    """A request received by the target."""
 
     method: str
     target: str
@@ -27,10 +27,11 @@
 
 
 class Worker:
-    """One target; counts what it ran, and what it saw leave.
+    """A target that records the requests it ran, rejected and dropped.
 
-    ``sheds`` has it turn all requests away, unrun; ``acts`` has it do the
-    same with each, whatever the path says.
+    ``sheds`` makes it reject all requests without running them.
+    ``forced_action`` selects an action for every request, whatever its path.
+    ``dropped`` holds the requests whose sender closed the connection early.
     """
 
     def __init__(self, instance: str, slots: int = 4) -> None:
@@ -38,29 +39,29 @@
         self.slots = slots
         self.sheds = False
         self.acts = ''
-        self.runs: list[Run] = []
-        self.rejected: list[Run] = []
-        self.dropped: list[Run] = []
+        self.runs: list[Request] = []
+        self.rejected: list[Request] = []
+        self.dropped: list[Request] = []
         self.connections = 0
         self.most_at_once = 0
         self.running = 0
         self.release = asyncio.Event()
         self.began = asyncio.Event()
-        self.left = asyncio.Event()
+        self.caller_left = asyncio.Event()
         self.address = ''
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
-        self.forgotten: set[asyncio.StreamWriter] = set()
+        self.reset_on_next_request: set[asyncio.StreamWriter] = set()
 
     def attempts(self) -> list[str]:
         return [one.attempt for one in self.runs]
 
     def forget_idle(self) -> None:
-        """Reset, on the next byte, every connection that is idle now."""
-        self.forgotten |= self.writers
+        """Reset the current connections when they receive another request."""
+        self.reset_on_next_request |= self.writers
 
     async def crash(self) -> None:
-        """End at once: listening socket and connections are gone."""
+        """Close the listening socket and abort all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -73,7 +74,7 @@
         self.connections += 1
         self.writers.add(writer)
         try:
-            while await self._one(reader, writer):
+            while await self._handle_request(reader, writer):
                 pass
         except (OSError, asyncio.IncompleteReadError):
             return
@@ -81,121 +82,128 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def _one(
+    async def _handle_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        run = await self._read(reader, writer)
-        if writer in self.forgotten:
+        request = await self._read_request(reader, writer)
+        if writer in self.reset_on_next_request:
             writer.transport.abort()
             return False
-        expected = run.headers.get('x-expected-instance', self.instance)
+        expected = request.headers.get('x-expected-instance', self.instance)
         if expected != self.instance:
-            self.rejected.append(run)
+            self.rejected.append(request)
             writer.write(
                 b'HTTP/1.1 421 Misdirected Request\r\n'
                 b'Content-Length: 0\r\n\r\n'
             )
             return True
-        action = self.acts or run.target.partition('?')[0].rpartition('/')[2]
+        action = (
+            self.acts or request.target.partition('?')[0].rpartition('/')[2]
+        )
         if self.sheds or action == 'shed':
-            self.rejected.append(run)
+            self.rejected.append(request)
             writer.write(
                 b'HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\n'
                 b'Content-Length: 0\r\n\r\n'
             )
             return True
-        self.runs.append(run)
+        self.runs.append(request)
         self.running += 1
         self.most_at_once = max(self.most_at_once, self.running)
         self.began.set()
         try:
-            act = ACTIONS.get(action, _ok)
-            return await act(self, run, reader, writer)
+            act = ACTIONS.get(action, _respond)
+            return await act(self, request, reader, writer)
         finally:
             self.running -= 1
 
-    async def _read(
+    async def _read_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> Run:
-        """Read a request; one whose path ends in `early` is answered first.
+    ) -> Request:
+        """Read a request; if its path ends in `early`, respond first.
 
-        Its body is read only after that, as a target does that knows by
-        the head what it will say.
+        Its body is read after the response is sent and `release` is set, as
+        by a target that decides on the response by the headers alone.
         """
-        run = await _read_head(reader)
-        early = run.target.endswith('/early')
+        request = await _read_head(reader)
+        early = request.target.endswith('/early')
         if early:
-            writer.write(self.answer(run))
+            writer.write(self.render_response(request))
             await writer.drain()
             await self.release.wait()
-        length = int(run.headers.get('content-length', 0))
-        run.body = await reader.readexactly(length)
-        return run
+        length = int(request.headers.get('content-length', 0))
+        request.body = await reader.readexactly(length)
+        return request
 
-    def answer(self, run: Run, body: bytes = b'done') -> bytes:
+    def render_response(
+        self, request: Request, body: bytes = b'done'
+    ) -> bytes:
         return (
-            f'HTTP/1.1 200 OK\r\nX-Attempt-Id: {run.attempt}\r\n'
+            f'HTTP/1.1 200 OK\r\nX-Attempt-Id: {request.attempt}\r\n'
             f'X-Response-Signature: {self.instance}\r\n'
             f'Content-Length: {len(body)}\r\n\r\n'
         ).encode() + body
 
 
 Action = Callable[
-    [Worker, Run, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[bool]
+    [Worker, Request, asyncio.StreamReader, asyncio.StreamWriter],
+    Awaitable[bool],
 ]
 
 
-async def _ok(
+async def _respond(
     worker: Worker,
-    run: Run,
+    request: Request,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> bool:
-    writer.write(worker.answer(run))
+    writer.write(worker.render_response(request))
     return True
 
 
 async def _hold(
     worker: Worker,
-    run: Run,
+    request: Request,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> bool:
-    """Run until released, or until the sender leaves."""
+    """Run until released, or until the sender closes the connection."""
     released = asyncio.ensure_future(worker.release.wait())
-    gone = asyncio.ensure_future(reader.read(1))
+    disconnected = asyncio.ensure_future(reader.read(1))
     done, _ = await asyncio.wait(
-        {released, gone}, return_when=asyncio.FIRST_COMPLETED
+        {released, disconnected}, return_when=asyncio.FIRST_COMPLETED
     )
-    if gone in done:
+    if disconnected in done:
         released.cancel()
-        worker.dropped.append(run)
-        worker.left.set()
+        worker.dropped.append(request)
+        worker.caller_left.set()
         return False
-    gone.cancel()
+    disconnected.cancel()
     with contextlib.suppress(asyncio.CancelledError):
-        await gone
-    writer.write(worker.answer(run))
+        await disconnected
+    writer.write(worker.render_response(request))
     return True
 
 
-def _sends(render: Callable[[Worker, Run], bytes], keep: bool) -> Action:
+def _respond_with(
+    render: Callable[[Worker, Request], bytes], keep_alive: bool
+) -> Action:
     async def act(
         worker: Worker,
-        run: Run,
+        request: Request,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        writer.write(render(worker, run))
+        writer.write(render(worker, request))
         await writer.drain()
-        return keep
+        return keep_alive
 
     return act
 
 
 async def _reset(
     worker: Worker,
-    run: Run,
+    request: Request,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> bool:
@@ -205,7 +213,7 @@
 
 async def _crash(
     worker: Worker,
-    run: Run,
+    request: Request,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> bool:
@@ -213,75 +221,86 @@
     return False
 
 
-def _failed(worker: Worker, run: Run) -> bytes:
-    return worker.answer(run).replace(b'200 OK', b'500 Failed')
+def _error_response(worker: Worker, request: Request) -> bytes:
+    return worker.render_response(request).replace(b'200 OK', b'500 Failed')
 
 
-def _unframed(worker: Worker, run: Run) -> bytes:
-    return worker.answer(run).replace(b'Content-Length: 4\r\n', b'')
+def _response_without_length(worker: Worker, request: Request) -> bytes:
+    return worker.render_response(request).replace(
+        b'Content-Length: 4\r\n', b''
+    )
 
 
-def _second(worker: Worker, run: Run) -> bytes:
-    return worker.answer(run) + worker.answer(run, b'other')
+def _extra_response(worker: Worker, request: Request) -> bytes:
+    return worker.render_response(request) + worker.render_response(
+        request, b'other'
+    )
 
 
-def _foreign_first(worker: Worker, run: Run) -> bytes:
-    other = dataclasses.replace(run, headers={'x-attempt-id': 'other'})
-    return worker.answer(other, b'wrong') + worker.answer(run)
+def _foreign_response_first(worker: Worker, request: Request) -> bytes:
+    other = dataclasses.replace(request, headers={'x-attempt-id': 'other'})
+    return worker.render_response(other, b'wrong') + worker.render_response(
+        request
+    )
 
 
-async def _nothing_more(
+async def _already_answered(
     worker: Worker,
-    run: Run,
+    request: Request,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> bool:
-    """Go on reading; the answer was sent before the body was read."""
+    """Keep the connection; the response was sent before the body was read."""
     return True
 
 
 ACTIONS: dict[str, Action] = {
-    'ok': _ok,
-    'early': _nothing_more,
+    'ok': _respond,
+    'early': _already_answered,
     'hold': _hold,
     'reset': _reset,
     'crash': _crash,
-    'closed': _sends(lambda worker, run: b'', False),
-    'truncated': _sends(
-        lambda worker, run: worker.answer(run, b'x' * 100)[:-50], False
+    'closed': _respond_with(lambda worker, request: b'', False),
+    'truncated': _respond_with(
+        lambda worker, request: worker.render_response(request, b'x' * 100)[
+            :-50
+        ],
+        False,
+    ),
+    'garbage': _respond_with(
+        lambda worker, request: b'\x00\x01 no answer', False
     ),
-    'garbage': _sends(lambda worker, run: b'\x00\x01 no answer', False),
-    'unsigned': _sends(
-        lambda worker, run: worker.answer(run).replace(
+    'unsigned': _respond_with(
+        lambda worker, request: worker.render_response(request).replace(
             b'X-Response-Signature', b'X-Other'
         ),
         True,
     ),
-    'encoded': _sends(
-        lambda worker, run: worker.answer(run).replace(
+    'encoded': _respond_with(
+        lambda worker, request: worker.render_response(request).replace(
             b'Content-Length', b'Content-Encoding: gzip\r\nContent-Length'
         ),
         True,
     ),
-    'failed': _sends(_failed, True),
-    'unframed': _sends(_unframed, False),
-    'second': _sends(_second, True),
-    'foreign-first': _sends(_foreign_first, True),
+    'failed': _respond_with(_error_response, True),
+    'unframed': _respond_with(_response_without_length, False),
+    'second': _respond_with(_extra_response, True),
+    'foreign-first': _respond_with(_foreign_response_first, True),
 }
 
 
-async def _read_head(reader: asyncio.StreamReader) -> Run:
+async def _read_head(reader: asyncio.StreamReader) -> Request:
     head = (await reader.readuntil(b'\r\n\r\n')).decode('latin-1')
     first, *lines = head.split('\r\n')
     method, target, _ = first.split(' ')
     pairs = [line.partition(': ') for line in lines if line]
     headers = {name.lower(): value for name, _, value in pairs}
-    return Run(method, target, headers, b'')
+    return Request(method, target, headers, b'')
 
 
 @contextlib.asynccontextmanager
 async def serving(worker: Worker, address: str) -> AsyncIterator[Worker]:
-    """Serve `worker` at a loopback address; sets its own."""
+    """Serve `worker` on a loopback address and set its ``address``."""
     worker.server = await asyncio.start_server(worker.serve, address, 0)
     port = worker.server.sockets[0].getsockname()[1]
     worker.address = f'{address}:{port}'
--- a/testing/test_soak.py
+++ b/testing/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what it draws, what it finds, and short runs of its seeds."""
+"""The soak: generated faults, detected violations and short runs."""
 
 import asyncio
 import dataclasses
@@ -12,13 +12,13 @@
 from testing.soak import run as runs
 
 HOST = 'h1'
-WORKER = 'i-h1-1'
+INSTANCE = 'i-h1-1'
 DIGEST = 'd'
 
 
-def asked(**changes: object) -> records.Asked:
-    """Return a request that was served, with changes."""
-    one = records.Asked(
+def make_request(**changes: object) -> records.Asked:
+    """Return a request that was served, with changed fields."""
+    request = records.Asked(
         attempt='a',
         host=HOST,
         kind=records.Kind.ONCE,
@@ -30,166 +30,221 @@
         ended=100.1,
         ending=records.Ending.ANSWERED,
         status=200,
-        proof=WORKER,
+        proof=INSTANCE,
         body=b'made',
     )
-    return dataclasses.replace(one, **changes)  # type: ignore[arg-type]
+    return dataclasses.replace(request, **changes)  # type: ignore[arg-type]
 
 
-def ran(**changes: object) -> records.Ran:
-    """Return the run of that request, with changes."""
-    one = records.Ran(
+def make_execution(**changes: object) -> records.Execution:
+    """Return the execution of that request, with changed fields."""
+    execution = records.Execution(
         at=100.05,
         host=HOST,
-        instance=WORKER,
+        instance=INSTANCE,
         service='register',
         attempt='a',
         method='POST',
         target='/write/work?ms=1',
         digest=DIGEST,
-        told_ms=900,
-        answer='made',
+        remaining_ms=900,
+        response_body='made',
     )
-    return dataclasses.replace(one, **changes)  # type: ignore[arg-type]
+    return dataclasses.replace(execution, **changes)  # type: ignore[arg-type]
 
 
-def seen(
+def make_records(
     requests: list[records.Asked],
-    arrivals: list[records.Ran],
+    executions: list[records.Execution],
     *disruptions: records.Disruption,
 ) -> records.Records:
-    """Return records of a run that ended served."""
+    """Return records of a run whose last requests were all served."""
     served = [
-        asked(attempt=f'late-{number}', sent=200.0 + number, ended=200.1)
+        make_request(
+            attempt=f'late-{number}', sent=200.0 + number, ended=200.1
+        )
         for number in range(20)
     ]
-    runs_of_served = [ran(attempt=one.attempt, at=one.sent) for one in served]
+    served_executions = [
+        make_execution(attempt=one.attempt, at=one.sent) for one in served
+    ]
     return records.Records(
-        asked=[*requests, *served],
-        ran=[*arrivals, *runs_of_served],
+        requests=[*requests, *served],
+        executions=[*executions, *served_executions],
         disruptions=list(disruptions),
-        calm_from=150.0,
+        faults_ended_at=150.0,
     )
 
 
-def test_a_run_in_which_all_was_kept_finds_nothing() -> None:
-    assert promises.check(seen([asked()], [ran()])) == []
+def test_run_without_violations_passes() -> None:
+    assert (
+        promises.check(make_records([make_request()], [make_execution()]))
+        == []
+    )
 
 
 @pytest.mark.parametrize(
-    ('request_', 'arrivals', 'promise'),
+    ('request_record', 'executions', 'promise'),
     [
         pytest.param(
-            asked(body=b'other'), [ran()], 'whole', id='body of another'
+            make_request(body=b'other'),
+            [make_execution()],
+            'complete',
+            id='body of another request',
+        ),
+        pytest.param(
+            make_request(proof=''),
+            [make_execution()],
+            'complete',
+            id='no signature',
+        ),
+        pytest.param(
+            make_request(target='/write/failed?ms=1'),
+            [make_execution(target='/write/failed?ms=1')],
+            'complete',
+            id='failure reported as success',
         ),
-        pytest.param(asked(proof=''), [ran()], 'whole', id='no proof'),
         pytest.param(
-            asked(target='/write/failed?ms=1'),
-            [ran(target='/write/failed?ms=1')],
-            'whole',
-            id='failure told as success',
+            make_request(),
+            [make_execution(), make_execution(digest='x')],
+            'as callers sent',
+            id='changed',
         ),
         pytest.param(
-            asked(), [ran(), ran(digest='x')], 'what callers', id='changed'
+            make_request(),
+            [make_execution(), make_execution(attempt='z')],
+            'as callers sent',
+            id='never sent',
         ),
         pytest.param(
-            asked(), [ran(), ran(attempt='z')], 'what callers', id='unasked'
+            make_request(),
+            [make_execution(service='vault')],
+            'the service of its route',
+            id='wrong service',
         ),
         pytest.param(
-            asked(), [ran(service='vault')], 'its service', id='wrong service'
+            make_request(),
+            [make_execution(), make_execution()],
+            'no more often',
+            id='ran twice',
         ),
-        pytest.param(asked(), [ran(), ran()], 'no more often', id='ran twice'),
         pytest.param(
-            asked(status=503, proof=''),
-            [ran()],
-            'refused has not run',
-            id='refused and ran',
+            make_request(status=503, proof=''),
+            [make_execution()],
+            'rejected request has not run',
+            id='rejected and ran',
         ),
         pytest.param(
-            asked(), [ran(told_ms=1600)], 'time than is left', id='too much'
+            make_request(),
+            [make_execution(remaining_ms=1600)],
+            'time than remains',
+            id='too much time',
         ),
         pytest.param(
-            asked(), [ran(told_ms=-1)], 'time than is left', id='not told'
+            make_request(),
+            [make_execution(remaining_ms=-1)],
+            'time than remains',
+            id='remaining time missing',
         ),
         pytest.param(
-            asked(ending=records.Ending.CLOSED, status=0),
-            [ran()],
-            'ran is answered',
+            make_request(ending=records.Ending.CLOSED, status=0),
+            [make_execution()],
+            'that ran is answered',
             id='closed',
         ),
         pytest.param(
-            asked(ending=records.Ending.SILENT, ended=103.0, status=0),
-            [ran()],
+            make_request(ending=records.Ending.SILENT, ended=103.0, status=0),
+            [make_execution()],
             'by its deadline',
             id='silent',
         ),
     ],
 )
-def test_a_broken_promise_is_found(
-    request_: records.Asked, arrivals: list[records.Ran], promise: str
+def test_violation_is_reported(
+    request_record: records.Asked,
+    executions: list[records.Execution],
+    promise: str,
 ) -> None:
-    found = promises.check(seen([request_], arrivals))
-    assert any(promise in one.promise for one in found)
+    violations = promises.check(make_records([request_record], executions))
+    assert any(promise in one.promise for one in violations)
 
 
-def test_a_request_after_the_leave_was_acknowledged_is_found() -> None:
-    history = seen(
-        [asked(proof='i-old', body=b'made')], [ran(instance='i-old')]
+def test_request_after_acknowledged_drain_is_reported() -> None:
+    observed = make_records(
+        [make_request(proof='i-old', body=b'made')],
+        [make_execution(instance='i-old')],
     )
-    history.left.append(records.Left(98.0, HOST, 'i-old'))
-    (found,) = promises.check(history)
-    assert 'leaves' in found.promise
+    observed.drain_acks.append(records.DrainAck(98.0, HOST, 'i-old'))
+    (violation,) = promises.check(observed)
+    assert 'draining target' in violation.promise
 
 
-def test_a_route_that_is_not_there_in_time_is_found() -> None:
-    late = asked(
+def test_late_configuration_version_is_reported() -> None:
+    late = make_request(
         kind=records.Kind.IDEMPOTENT,
         target='/v7/work?ms=1',
         status=404,
         proof='',
         route_version=7,
     )
-    history = seen([late], [])
-    history.versions[7] = 97.0
-    (found,) = promises.check(history)
-    assert 'in force' in found.promise
-    history.versions[7] = 99.0
-    assert promises.check(history) == []
+    observed = make_records([late], [])
+    observed.versions[7] = 97.0
+    (violation,) = promises.check(observed)
+    assert 'in force' in violation.promise
+    observed.versions[7] = 99.0
+    assert promises.check(observed) == []
 
 
-def test_a_disruption_excuses_what_it_may_cause_and_nothing_else() -> None:
-    """A host's daemon is killed: its callers' connections end.
+def test_disruption_excuses_only_its_own_effects() -> None:
+    """A daemon is killed, which closes the connections of its callers.
 
-    That excuses the closed connection, and never a second run.
+    This excuses a closed connection, but not a second execution.
     """
     kill = records.Disruption(99.9, 100.5, HOST, 'kill')
-    closed = asked(ending=records.Ending.CLOSED, status=0, proof='', body=b'')
-    assert promises.check(seen([closed], [ran()], kill)) == []
-    (found,) = promises.check(seen([closed], [ran(), ran()], kill))
-    assert 'no more often' in found.promise
+    closed = make_request(
+        ending=records.Ending.CLOSED, status=0, proof='', body=b''
+    )
+    assert (
+        promises.check(make_records([closed], [make_execution()], kill)) == []
+    )
+    (violation,) = promises.check(
+        make_records([closed], [make_execution(), make_execution()], kill)
+    )
+    assert 'no more often' in violation.promise
 
 
-def test_a_stop_that_was_asked_for_is_no_excuse() -> None:
+def test_planned_stop_excuses_nothing() -> None:
     stop = records.Disruption(99.9, 100.5, HOST, 'stop', planned=True)
-    closed = asked(ending=records.Ending.CLOSED, status=0)
-    assert promises.check(seen([closed], [ran()], stop))
+    closed = make_request(ending=records.Ending.CLOSED, status=0)
+    assert promises.check(make_records([closed], [make_execution()], stop))
 
 
-def test_a_fleet_that_does_not_come_back_is_found() -> None:
-    history = seen([], [])
-    for one in history.asked:
+def test_fleet_that_does_not_recover_is_reported() -> None:
+    observed = make_records([], [])
+    for one in observed.requests:
         one.status = 503
         one.proof = ''
-    found = promises.check(history)
-    assert 'as before' in found[-1].promise or 'as before' in found[0].promise
+    violations = promises.check(observed)
+    assert (
+        'as before' in violations[-1].promise
+        or 'as before' in violations[0].promise
+    )
 
 
-def test_a_seed_draws_the_same_faults_each_time() -> None:
+def test_seed_determines_the_faults() -> None:
     hosts = ['h1', 'h2']
-    assert plan.draw(5, 20.0, hosts) == plan.draw(5, 20.0, hosts)
-    assert plan.draw(5, 20.0, hosts) != plan.draw(6, 20.0, hosts)
-    assert plan.draw_fleet(5, 20.0, hosts) == plan.draw_fleet(5, 20.0, hosts)
-    assert plan.draw_fleet(5, 20.0, hosts) != plan.draw_fleet(6, 20.0, hosts)
+    assert plan.generate_faults(5, 20.0, hosts) == plan.generate_faults(
+        5, 20.0, hosts
+    )
+    assert plan.generate_faults(5, 20.0, hosts) != plan.generate_faults(
+        6, 20.0, hosts
+    )
+    assert plan.generate_fleet_faults(
+        5, 20.0, hosts
+    ) == plan.generate_fleet_faults(5, 20.0, hosts)
+    assert plan.generate_fleet_faults(
+        5, 20.0, hosts
+    ) != plan.generate_fleet_faults(6, 20.0, hosts)
 
 
 @pytest.mark.processes
@@ -198,21 +253,21 @@
     [
         pytest.param(1, 6.0, False, id='any'),
         pytest.param(4, 8.0, True, id='many hosts at once'),
-        # The store fell silent; the watches sent meanwhile were lost, and
-        # new versions were in force seconds late on all hosts.
+        # The store hung; watches sent meanwhile were lost, so that new
+        # versions were in force seconds late on all hosts.
         pytest.param(382471730, 20.0, False, id='watches lost in an outage'),
-        # A daemon was told to reload while it started, and ended.
+        # A daemon received SIGHUP during its start and exited.
         pytest.param(180368104, 20.0, False, id='reload during a start'),
     ],
 )
-def test_the_programs_keep_their_promises_under_faults(
+def test_programs_keep_invariants_under_faults(
     seed: int, seconds: float, fleet_faults: bool, tmp_path: pathlib.Path
 ) -> None:
-    """The real programs under the faults of a seed.
+    """Runs the real programs under the faults of a seed.
 
-    The third seed and those after it broke a promise once; the line at
-    each says what callers saw, and why.
+    The seeds with a comment once violated an invariant; the comment says
+    what callers saw and why.
     """
-    verdict = asyncio.run(runs.run(seed, seconds, tmp_path, fleet_faults))
-    assert verdict.broken == []
-    assert verdict.served
+    result = asyncio.run(runs.run(seed, seconds, tmp_path, fleet_faults))
+    assert result.broken == []
+    assert result.served
