--- a/testing/test_call_costs.py
+++ b/testing/test_call_costs.py
@@ -1,8 +1,7 @@
-"""What a call costs in counts that do not depend on the machine.
+"""Costs of a call, in counts that do not depend on the machine.
 
-Processor time goes with writes (each a system call), tasks and timers; a
-change that adds one to each call shows here, on any machine, also a busy
-one.
+CPU time grows with writes (each a system call), tasks and timers.  A change
+that adds a write or a task to each call fails here, even on a busy machine.
 """
 
 import asyncio
@@ -25,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Costs:
-    """What was counted over all calls."""
+    """Counts over all calls."""
 
     writes: int = 0
     tasks: int = 0
@@ -46,44 +45,46 @@
         return getattr(self.transport, name)
 
 
-def _protocols(host: proxies.Host) -> Iterator[Any]:
-    """Yield all connections that a call may go over."""
+def _connections(host: proxies.Host) -> Iterator[Any]:
+    """Yield all connections that a call may use."""
     yield from host.proxy.requests.connections
     yield from host.proxy.directory.streams()
     yield from host.proxy.guard.idle.connections
 
 
 @contextlib.contextmanager
-def counted(hosts: Iterable[proxies.Host]) -> Iterator[Costs]:
-    """Count what the proxies do while the context is open."""
+def counting_costs(hosts: Iterable[proxies.Host]) -> Iterator[Costs]:
+    """Count the writes and tasks of the proxies within the context."""
     costs = Costs()
     loop = asyncio.get_running_loop()
-    wrapped = [one for host in hosts for one in _protocols(host)]
-    for one in wrapped:
+    connections = [one for host in hosts for one in _connections(host)]
+    for one in connections:
         one.transport = CountingTransport(one.transport, costs)
 
     def factory(
-        running: asyncio.AbstractEventLoop, work: Any, **given: Any
+        running: asyncio.AbstractEventLoop, coroutine: Any, **kwargs: Any
     ) -> 'asyncio.Task[Any]':
         costs.tasks += 1
-        return asyncio.Task(work, loop=running, **given)
+        return asyncio.Task(coroutine, loop=running, **kwargs)
 
     loop.set_task_factory(factory)
     try:
         yield costs
     finally:
         loop.set_task_factory(None)
-        for one in wrapped:
+        for one in connections:
             if isinstance(one.transport, CountingTransport):
                 one.transport = one.transport.transport
 
 
-async def _costs_of_calls(across: bool) -> Costs:
+async def _costs_of_calls(across_hosts: bool) -> Costs:
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config())
-        first = await mesh.add('a', service='vault' if across else 'register')
+        first = await mesh.add(
+            'a', service='vault' if across_hosts else 'register'
+        )
         hosts = [first]
-        if across:
+        if across_hosts:
             hosts.append(await mesh.add('b'))
         for host in hosts:
             await host.announce()
@@ -91,7 +92,7 @@
         async with first.caller() as caller:
             # Opens the connection to the target.
             assert (await caller.ask('/read/ok')).status == 200
-            with counted(hosts) as costs:
+            with counting_costs(hosts) as costs:
                 for number in range(CALLS):
                     answer = await caller.ask('/read/ok', attempt=f'n{number}')
                     assert answer.status == 200
@@ -99,16 +100,16 @@
 
 
 @pytest.mark.parametrize(
-    ('across', 'writes'),
+    ('across_hosts', 'writes'),
     [
         pytest.param(False, WRITES_ON_ONE_HOST, id='on one host'),
         pytest.param(True, WRITES_ACROSS_HOSTS, id='across hosts'),
     ],
 )
-async def test_a_call_costs_one_write_a_leg_and_no_task(
-    across: bool, writes: int
+async def test_call_costs_one_write_per_hop_and_no_task(
+    across_hosts: bool, writes: int
 ) -> None:
-    costs = await _costs_of_calls(across)
-    # A ping or a renewal may fall into the calls; none comes with each.
+    costs = await _costs_of_calls(across_hosts)
+    # Pings and lease renewals may coincide with calls, but only with a few.
     assert costs.writes <= CALLS * writes + CALLS // 4
     assert costs.tasks <= CALLS // 4
--- a/testing/test_path.py
+++ b/testing/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path with separate processes."""
+"""The path of a call from caller to target, with separate processes."""
 
 from collections.abc import Callable
 import json
@@ -11,14 +11,14 @@
 
 
 @pytest.mark.processes
-def test_call_reaches_a_live_target_by_any_daemon(
+def test_any_daemon_routes_a_call_to_a_live_target(
     running_mesh: StartMesh, mesh_text: str
 ) -> None:
-    one = running_mesh(mesh_text)
-    one.wait_ready()
-    one.wait_in_force(one.accept(mesh_text))
-    one.wait_targets(4)
-    for host in one.plan.hosts:
+    running = running_mesh(mesh_text)
+    running.wait_ready()
+    running.wait_in_force(running.accept(mesh_text))
+    running.wait_targets(4)
+    for host in running.plan.hosts:
         answer = processes.call(
             host,
             'bond-issue',
@@ -36,12 +36,12 @@
 
 
 @pytest.mark.processes
-def test_stopped_daemon_leaves_with_exit_code_0(
+def test_stopped_daemon_exits_with_code_0(
     running_mesh: StartMesh, mesh_text: str
 ) -> None:
-    one = running_mesh(mesh_text)
-    one.wait_ready()
-    host = one.plan.hosts[0]
-    assert one.stop(f'target-{host.host}') == 0
-    assert one.stop(f'daemon-{host.host}') == 0
-    assert 'Traceback' not in one.log_of(f'daemon-{host.host}')
+    running = running_mesh(mesh_text)
+    running.wait_ready()
+    host = running.plan.hosts[0]
+    assert running.stop(f'target-{host.host}') == 0
+    assert running.stop(f'daemon-{host.host}') == 0
+    assert 'Traceback' not in running.log_of(f'daemon-{host.host}')
