--- a/testing/test_replicas_machine.py
+++ b/testing/test_replicas_machine.py
@@ -1,10 +1,11 @@
-"""Replicas that exchange frames late, crossed, twice, damaged or not at all.
-
-A few daemons of one tree, driven by a state machine: versions are
-accepted and read late, scopes change, processes restart, members come,
-are suspected and die, while frames wait, repeat, are damaged, and streams
-break with what they carried.  After each step nobody went back, holds a
-part, or routes to what it lacks; after healing all agree.
+"""Replicas whose frames are delayed, reordered, repeated, damaged or lost.
+
+A state machine drives a few daemons of one distribution tree: versions are
+accepted and read late, scopes change, processes restart, members join, are
+suspected and die, while frames wait, repeat or are damaged, and streams
+break and lose the frames in flight.  After each step no replica has gone
+back to an older revision, holds an incomplete version or has a route without
+a target; once all faults are repaired, all replicas agree.
 """
 
 import dataclasses
@@ -25,13 +26,13 @@
 HOSTS = ('relay', 'middle', 'leaf-1', 'leaf-2')
 PARENTS = {'middle': 'relay', 'leaf-1': 'middle', 'leaf-2': 'relay'}
 LEAVES = ('leaf-1', 'leaf-2')
-DAMAGES = (
+DAMAGE_KINDS = (
     'revision',
     'base',
     'service',
     'removed',
     'scope',
-    'seal',
+    'digest',
     'zones',
     'write',
     'body',
@@ -44,41 +45,41 @@
 )
 
 
-def damage(update: control_pb2.Config, how: str) -> None:
-    """Change one thing in an update, as a faulty peer might."""
-    if how == 'revision':
+def damage(update: control_pb2.Config, damage_kind: str) -> None:
+    """Change one field of an update, as a faulty peer might."""
+    if damage_kind == 'revision':
         update.revision += 1
-    elif how == 'base':
+    elif damage_kind == 'base':
         update.base_revision = 0 if update.base_revision else 1
-    elif how == 'service' and update.services:
+    elif damage_kind == 'service' and update.services:
         del update.services[0]
-    elif how == 'removed':
+    elif damage_kind == 'removed':
         update.removed.append(SERVICES[0])
-    elif how == 'scope':
+    elif damage_kind == 'scope':
         update.scope.everything = not update.scope.everything
-    elif how == 'seal':
+    elif damage_kind == 'digest':
         update.digest = bytes(32)
-    elif how == 'zones':
+    elif damage_kind == 'zones':
         update.availability_zones.append('z9')
-    elif how == 'write':
+    elif damage_kind == 'write':
         update.write_id += '!'
-    elif how == 'body' and update.services:
+    elif damage_kind == 'body' and update.services:
         update.services[0].body = b'{"name": "a"}'
 
 
-class Replicas(stateful.RuleBasedStateMachine):
+class ReplicaMachine(stateful.RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.accepted = {0: config.NO_CONFIG}
-        self.nodes = {host: self.fresh(host) for host in HOSTS}
+        self.nodes = {host: self.new_node(host) for host in HOSTS}
         self.pipes: dict[str, fleets.Pipe] = {}
-        self.seen: dict[str, int] = dict.fromkeys(HOSTS, 0)
+        self.highest_revision: dict[str, int] = dict.fromkeys(HOSTS, 0)
         for child in PARENTS:
             self.connect(child)
         self.accept({'a': {'b'}, 'c': {'d'}}, read=True)
         fleets.run_until_quiet(list(self.pipes.values()))
 
-    def fresh(self, host: str) -> fleets.Node:
+    def new_node(self, host: str) -> fleets.Node:
         scope = fleets.hosting('a') if host in LEAVES else config.EVERYTHING
         node = fleets.Node(host, scope)
         node.learn([fleets.member(host, service='a')])
@@ -90,8 +91,8 @@
 
     @stateful.rule(text=texts, read=st.booleans())
     def accept(self, text: dict[str, set[str]], read: bool) -> None:
-        closed = set(text).union(*text.values())
-        services = {name: sorted(text.get(name, ())) for name in closed}
+        all_services = set(text).union(*text.values())
+        services = {name: sorted(text.get(name, ())) for name in all_services}
         revision = max(self.accepted) + 3
         self.accepted[revision] = fleets.version(revision, services)
         if read:
@@ -122,9 +123,11 @@
         if waiting:
             waiting.append(waiting[0])
 
-    @stateful.rule(child=children, side=sides, how=st.sampled_from(DAMAGES))
-    def damage_next(self, child: str, side: int, how: str) -> None:
-        """Damage and deliver the next configuration on its way, if any."""
+    @stateful.rule(
+        child=children, side=sides, damage_kind=st.sampled_from(DAMAGE_KINDS)
+    )
+    def damage_next(self, child: str, side: int, damage_kind: str) -> None:
+        """Damage and deliver the next pending configuration, if any."""
         self.pipes[child].send(side)
         waiting = self.pipes[child].waiting[side]
         frame = control_pb2.Frame()
@@ -132,13 +135,13 @@
             frame.ParseFromString(data)
             if not frame.facts.HasField('config'):
                 continue
-            damage(frame.facts.config, how)
+            damage(frame.facts.config, damage_kind)
             waiting[position] = frame.SerializeToString()
             self.deliver_or_break(child, side, position + 1)
             return
 
     def deliver_or_break(self, child: str, side: int, count: int) -> None:
-        """Deliver frames; one that cannot be read ends the stream."""
+        """Deliver frames; one that can't be decoded closes the stream."""
         try:
             self.deliver(child, side, count)
         except errors.CodecError:
@@ -151,8 +154,8 @@
 
     @stateful.rule(host=hosts)
     def restart(self, host: str) -> None:
-        self.nodes[host] = self.fresh(host)
-        self.seen[host] = 0
+        self.nodes[host] = self.new_node(host)
+        self.highest_revision[host] = 0
         for child, parent in PARENTS.items():
             if host in (child, parent):
                 self.break_stream(child)
@@ -166,7 +169,7 @@
         replica.set_interest(fleets.hosting(*hosted))
 
     @stateful.rule(is_parent=st.booleans())
-    def change_place(self, is_parent: bool) -> None:
+    def change_position(self, is_parent: bool) -> None:
         scope = config.EVERYTHING if is_parent else fleets.hosting('a')
         self.nodes['middle'].replica.set_interest(scope)
 
@@ -174,33 +177,35 @@
         at=hosts,
         host=st.sampled_from((*HOSTS, 'other')),
         status=st.sampled_from(members.Status),
-        raised=st.integers(0, 1),
+        incarnation_increment=st.integers(0, 1),
         service=st.sampled_from(SERVICES),
     )
-    def hear_of_member(
+    def learn_member(
         self,
         at: str,
         host: str,
         status: members.Status,
-        raised: int,
+        incarnation_increment: int,
         service: str,
     ) -> None:
         held = self.nodes[at].replica.fleet.records.get(host)
         record = held or fleets.member(host, service=service)
-        later = dataclasses.replace(
-            record, status=status, incarnation=record.incarnation + raised
+        updated = dataclasses.replace(
+            record,
+            status=status,
+            incarnation=record.incarnation + incarnation_increment,
         )
-        self.nodes[at].learn([later])
+        self.nodes[at].learn([updated])
 
     @stateful.invariant()
-    def nobody_goes_back(self) -> None:
+    def revision_never_decreases(self) -> None:
         for host, node in self.nodes.items():
             revision = node.replica.version.revision
-            assert revision >= self.seen[host]
-            self.seen[host] = revision
+            assert revision >= self.highest_revision[host]
+            self.highest_revision[host] = revision
 
     @stateful.invariant()
-    def nothing_is_held_in_part(self) -> None:
+    def held_version_is_complete(self) -> None:
         for node in self.nodes.values():
             held = node.replica.holding
             assert held.version.revision in self.accepted
@@ -208,7 +213,7 @@
             assert held.version == whole.scoped(held.scope)
 
     @stateful.invariant()
-    def no_route_dangles(self) -> None:
+    def no_dangling_routes(self) -> None:
         for node in self.nodes.values():
             replica = node.replica
             live = {one.host for one in replica.fleet.live()}
@@ -217,8 +222,8 @@
             routing.check_no_dangling(table, replica.version, live)
 
     def teardown(self) -> None:
-        """Heal: fresh streams, the newest version read, all exchanged."""
-        self.change_place(True)
+        """Reopen streams, read the newest version and exchange all frames."""
+        self.change_position(True)
         for child in PARENTS:
             self.break_stream(child)
         newest = max(self.accepted)
@@ -230,16 +235,19 @@
             assert node.replica.version.revision == newest
             if newest:
                 assert node.replica.scope == node.replica.interest
-        told = self.nodes['relay'].table.progress
-        assert (told.lowest_revision, told.daemons) == (newest, len(HOSTS))
-        self.nobody_goes_back()
-        self.nothing_is_held_in_part()
-        self.no_route_dangles()
+        progress = self.nodes['relay'].table.progress
+        assert (progress.lowest_revision, progress.daemons) == (
+            newest,
+            len(HOSTS),
+        )
+        self.revision_never_decreases()
+        self.held_version_is_complete()
+        self.no_dangling_routes()
 
 
-def test_replicas_agree_whatever_happens_on_the_way() -> None:
+def test_replicas_converge_under_faults() -> None:
     stateful.run_state_machine_as_test(
-        Replicas,
+        ReplicaMachine,
         settings=hypothesis.settings(
             max_examples=100,
             stateful_step_count=40,
@@ -251,10 +259,10 @@
     )
 
 
-def test_seal_differs_by_scope_also_where_the_services_do_not() -> None:
-    # Two scopes hold the same services of one version and different ones
-    # of the next.  Were their seals the same, a parent would take a child
-    # of the one for one of the other and send a change that misses some.
+def test_scope_digest_differs_even_where_services_match() -> None:
+    # Two scopes select the same services of one version and different ones
+    # of the next.  With equal scope digests, a parent would confuse their
+    # children and send an update that misses services.
     held = fleets.version(3, {'a': ['b'], 'b': []})
     one = fleets.hosting('a')
     other = fleets.hosting('a', 'b')
