--- a/testing/__init__.py
+++ b/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests and their shared helpers."""
--- a/testing/callpath.py
+++ b/testing/callpath.py
@@ -1,8 +1,8 @@
-"""The path of calls of one or two daemons, in this process, on sockets.
+"""The call path of one or more daemons, in one process, over real sockets.
 
-Everything between a caller's socket and a target's is the real thing; only
-the distribution of configuration and membership is left out: each node is
-handed its facts.
+Everything between a caller's socket and a target's is production code.
+Configuration and membership are not distributed: a test sets them on each
+node.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 from peridotpost.model import members
 from peridotpost.standins import target as standin
 
-TEXT = """
+MESH_TEXT = """
 mesh: test
 availability_zones: [a, b]
 services:
@@ -47,12 +47,12 @@
     internal: true
     idempotent: true
 """
-WAIT_S = 10.0
+RECEIVE_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """One daemon's part in calls."""
+    """The components of one daemon that carry calls."""
 
     host: str
     zone: str
@@ -69,7 +69,7 @@
     egress_port: int = 0
 
     def announce(self, service: str, port: int, **options: int) -> None:
-        """Have a target of `service` run here, at `port`."""
+        """Register a local target of `service` that listens on `port`."""
         self.targets.announce(
             local.LocalTarget(
                 service=service,
@@ -83,14 +83,15 @@
         )
 
     def meet(self, *others: 'Node') -> None:
+        """Add the member records of other nodes."""
         for other in others:
             self.replica.offer_member(other.myself.record, 'test')
 
 
 class DirectKeys:
-    """Stands in for the owners of keys: every key is fresh, and runs here.
+    """Replaces key ownership: treats every key as new and runs it here.
 
-    That a key runs once is proved by the tests of ownership.
+    The ownership tests check that a key runs only once.
     """
 
     def __init__(self, router: routers.Router) -> None:
@@ -106,9 +107,9 @@
 
 @contextlib.asynccontextmanager
 async def node(
-    host: str, zone: str = 'a', mesh_text: str = TEXT
+    host: str, zone: str = 'a', mesh_text: str = MESH_TEXT
 ) -> AsyncIterator[Node]:
-    """Run a node; its own record follows its targets."""
+    """Run a node that stores its own member record on every change."""
     randomness = random.Random(host)
     counts = counters.Counters()
     async with contextlib.AsyncExitStack() as stack:
@@ -148,7 +149,7 @@
                 peer_server.PeerServer(guard, counts), '127.0.0.1', 0
             )
         )
-        both = [
+        ingress_servers = [
             ingresses.Ingress(
                 replica,
                 router,
@@ -163,11 +164,11 @@
         ]
         ports = [
             await stack.enter_async_context(
-                ingresses.serving(one, '127.0.0.1', 0, 'caller_port')
+                ingresses.serving(ingress, '127.0.0.1', 0, 'caller_port')
             )
-            for one in both
+            for ingress in ingress_servers
         ]
-        myself.changed.subscribe(lambda record: _follow(replica, record))
+        myself.changed.subscribe(lambda record: _offer_record(replica, record))
         myself.set_ports(call_port, 0)
         replica.offer_member(myself.record, 'test')
         myself.stage = own.Stage.READY
@@ -182,12 +183,14 @@
             streams,
             counts,
             clock,
-            both[0],
+            ingress_servers[0],
             *ports,
         )
 
 
-def _follow(replica: replicas.Replica, record: members.MemberRecord) -> None:
+def _offer_record(
+    replica: replicas.Replica, record: members.MemberRecord
+) -> None:
     replica.offer_member(record, '')
 
 
@@ -195,13 +198,13 @@
 async def standin_target(
     service: str, **options: object
 ) -> AsyncIterator[standin.Target]:
-    """Run a stand-in target in this process; announces itself to nobody."""
+    """Run a stand-in target in this process, without announcing it."""
     settings = standin.TargetSettings.model_validate(
         {'service': service, 'name': service, **options}
     )
-    one = standin.Target(settings)
-    async with standin.serving(one):
-        yield one
+    target = standin.Target(settings)
+    async with standin.serving(target):
+        yield target
 
 
 Script = Callable[
@@ -211,14 +214,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Scripted:
-    """A server whose every connection follows a script of the test."""
+    """A server that runs a script of the test on each connection."""
 
     port: int = 0
     accepted: int = 0
     requests: list[bytes] = dataclasses.field(default_factory=list)
 
     async def read_request(self, reader: asyncio.StreamReader) -> bytes:
-        """Read one request with its body."""
+        """Read a request with its body."""
         head = await reader.readuntil(b'\r\n\r\n')
         length = 0
         for line in head.lower().split(b'\r\n'):
@@ -235,7 +238,7 @@
         [Scripted, asyncio.StreamReader, asyncio.StreamWriter], object
     ],
 ) -> AsyncIterator[Scripted]:
-    """Serve `script`, an async function, on a free port."""
+    """Serve `script`, a coroutine function, on a free port."""
     state = Scripted()
     tasks: set[asyncio.Task[None]] = set()
 
@@ -265,14 +268,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller read from its socket."""
+    """An HTTP answer as read from the caller's socket."""
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes
 
     def header(self, name: str) -> str:
-        """Return a header's first value, empty if there is none."""
+        """Return a header's first value, or an empty string."""
         for found, value in self.headers:
             if found.lower() == name.lower():
                 return value
@@ -280,12 +283,12 @@
 
     @property
     def word(self) -> str:
-        """Return ``not-run``, ``unknown``, or ``answered``."""
+        """The outcome: ``not-run``, ``unknown`` or ``answered``."""
         return self.header('Peridot-Outcome') or 'answered'
 
 
 class Caller:
-    """A caller's connection, on which any bytes can be sent."""
+    """A caller's connection, which can send arbitrary bytes."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -297,24 +300,27 @@
         self.writer.write(raw)
         await self.writer.drain()
 
-    async def reply(self, head: bool = False) -> Reply:
-        """Read one answer; `head` if the request was HEAD."""
+    async def read_reply(self, head: bool = False) -> Reply:
+        """Read an answer.
+
+        :param head: whether it answers a HEAD request and has no body.
+        """
         raw = await asyncio.wait_for(
-            self.reader.readuntil(b'\r\n\r\n'), WAIT_S
+            self.reader.readuntil(b'\r\n\r\n'), RECEIVE_TIMEOUT_S
         )
         first, *lines = raw.decode('latin1').strip('\r\n').split('\r\n')
         headers = [
             (name, value.strip())
             for name, _, value in (line.partition(':') for line in lines)
         ]
-        one = Reply(int(first.split(' ')[1]), headers, b'')
-        length = one.header('Content-Length')
+        reply = Reply(int(first.split(' ')[1]), headers, b'')
+        length = reply.header('Content-Length')
         if length and not head:
             body = await asyncio.wait_for(
-                self.reader.readexactly(int(length)), WAIT_S
+                self.reader.readexactly(int(length)), RECEIVE_TIMEOUT_S
             )
-            one = dataclasses.replace(one, body=body)
-        return one
+            reply = dataclasses.replace(reply, body=body)
+        return reply
 
     async def ask(
         self,
@@ -324,17 +330,19 @@
         body: bytes = b'',
         *headers: str,
     ) -> Reply:
-        """Send a request and return the answer to it."""
+        """Send a request and return its answer."""
         await self.send(request(service, method, path, body, *headers))
-        return await self.reply(head=method == 'HEAD')
+        return await self.read_reply(head=method == 'HEAD')
 
-    async def ended(self) -> bool:
-        """Wait until the daemon has closed; False if it sends more."""
+    async def reads_eof(self) -> bool:
+        """Wait for the daemon to close; return false if it sends data."""
         try:
-            rest = await asyncio.wait_for(self.reader.read(1), WAIT_S)
+            data = await asyncio.wait_for(
+                self.reader.read(1), RECEIVE_TIMEOUT_S
+            )
         except ConnectionError:
             return True
-        return rest == b''
+        return data == b''
 
 
 def request(
@@ -344,6 +352,7 @@
     body: bytes = b'',
     *headers: str,
 ) -> bytes:
+    """Return an encoded request."""
     lines = [f'{method} {path} HTTP/1.1', f'Host: {service}', *headers]
     if body or method in ('POST', 'PUT'):
         lines.append(f'Content-Length: {len(body)}')
@@ -352,6 +361,7 @@
 
 @contextlib.asynccontextmanager
 async def caller(port: int) -> AsyncIterator[Caller]:
+    """Open a caller's connection to a daemon on this machine."""
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     try:
         yield Caller(reader, writer)
--- a/testing/conditions.py
+++ b/testing/conditions.py
@@ -1,7 +1,7 @@
-"""Waiting for a condition on objects of this process, without polling.
+"""Waits for conditions on in-process objects, without polling.
 
-Such a condition can only come true in a turn of the loop, so it is looked
-at after each turn; the loop sleeps when nothing happens, as ever.
+Such a condition can change only while the event loop runs callbacks, so it
+is checked after each iteration of the loop; an idle loop still sleeps.
 """
 
 import asyncio
@@ -9,28 +9,28 @@
 import dataclasses
 from typing import cast
 
-PATIENCE_S = 30.0
-"""Bounds a wait that is in vain; no verdict hangs on it otherwise."""
+TIMEOUT_S = 30.0
+"""Limits a wait that never succeeds; affects no passing test."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiter:
-    """Who waits for what."""
+    """A pending wait and its condition."""
 
-    holds: Callable[[], bool]
-    done: 'asyncio.Future[None]'
+    predicate: Callable[[], bool]
+    future: 'asyncio.Future[None]'
 
-    def look(self) -> None:
-        """Wake whoever waits if the condition holds, or fails."""
+    def check(self) -> None:
+        """Complete the future if the condition is true or raises."""
         try:
-            if self.holds():
-                self.done.set_result(None)
+            if self.predicate():
+                self.future.set_result(None)
         except Exception as error:
-            self.done.set_exception(error)
+            self.future.set_exception(error)
 
 
-class TurnLoop(asyncio.SelectorEventLoop):
-    """A loop that looks at the waiters after each of its turns."""
+class ConditionEventLoop(asyncio.SelectorEventLoop):
+    """An event loop that checks the waiters after each iteration."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,30 +39,34 @@
     def _run_once(self) -> None:
         super()._run_once()  # type: ignore[misc]
         for waiter in self.waiters:
-            waiter.look()
-        self.waiters = [one for one in self.waiters if not one.done.done()]
+            waiter.check()
+        self.waiters = [
+            pending for pending in self.waiters if not pending.future.done()
+        ]
 
 
-class TurnPolicy(asyncio.DefaultEventLoopPolicy):
-    """Has ``asyncio.run`` make such loops."""
+class ConditionEventLoopPolicy(asyncio.DefaultEventLoopPolicy):
+    """Makes ``asyncio.run`` create a `ConditionEventLoop`."""
 
-    _loop_factory = TurnLoop
+    _loop_factory = ConditionEventLoop
 
 
-async def until(holds: Callable[[], bool], what: str = '') -> None:
-    """Wait until `holds`.
+async def until(predicate: Callable[[], bool], description: str = '') -> None:
+    """Wait until `predicate` returns true.
 
-    :param what: for the message of a wait in vain.
+    :param description: completes the message of a wait that times out.
     """
-    if holds():
+    if predicate():
         return
-    loop = cast(TurnLoop, asyncio.get_running_loop())
-    waiter = Waiter(holds, loop.create_future())
+    loop = cast(ConditionEventLoop, asyncio.get_running_loop())
+    waiter = Waiter(predicate, loop.create_future())
     loop.waiters.append(waiter)
     try:
-        async with asyncio.timeout(PATIENCE_S):
-            await waiter.done
+        async with asyncio.timeout(TIMEOUT_S):
+            await waiter.future
     except TimeoutError:
-        raise AssertionError(f'waited in vain until {what}') from None
+        raise AssertionError(
+            f'timed out waiting until {description}'
+        ) from None
     finally:
-        waiter.done.cancel()
+        waiter.future.cancel()
--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that every test may use; async tests get a loop of their own."""
+"""Shared fixtures; runs each async test on an event loop of its own."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,13 +19,13 @@
 from testing import processes
 
 SEED = 20261202
-asyncio.set_event_loop_policy(conditions.TurnPolicy())
+asyncio.set_event_loop_policy(conditions.ConditionEventLoopPolicy())
 EXAMPLES = pathlib.Path(__file__).parent.parent / 'examples'
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a coroutine test function on a fresh loop."""
+    """Run a coroutine test function on a new event loop."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = pyfuncitem._fixtureinfo.argnames
@@ -36,13 +36,13 @@
 
 @pytest.fixture
 def randomness() -> random.Random:
-    """A random source with a fixed seed."""
+    """A random number generator with a fixed seed."""
     return random.Random(SEED)
 
 
 @pytest.fixture
 def mesh_text() -> str:
-    """Rautasilta's example text."""
+    """The example mesh configuration, ``rautasilta.yaml``."""
     return (EXAMPLES / 'rautasilta.yaml').read_text()
 
 
@@ -50,7 +50,7 @@
 def running_mesh(
     tmp_path: pathlib.Path,
 ) -> Iterator[Callable[..., processes.RunningMesh]]:
-    """Start meshes of separate processes; they end with the test."""
+    """Start meshes of separate processes, ended with the test."""
     with contextlib.ExitStack() as stack:
 
         def start(text: str, **options: Any) -> processes.RunningMesh:
@@ -80,7 +80,7 @@
 
 @pytest.fixture
 def etcd_store() -> StoreFactory:
-    """Open the adapter on a stand-in in the same process."""
+    """Open the etcd store against an in-process stand-in server."""
 
     @contextlib.asynccontextmanager
     async def opened() -> AsyncIterator[StoreUnderTest]:
--- a/testing/fleets.py
+++ b/testing/fleets.py
@@ -1,4 +1,4 @@
-"""Replicas and links without a network, for tests of distribution."""
+"""Replicas and links without a network, for distribution tests."""
 
 import collections
 from collections.abc import Iterable
@@ -15,12 +15,12 @@
 from peridotpost.model import config
 from peridotpost.model import members
 
-ROUNDS = 200
+MAX_ROUNDS = 200
 LIMITS = config.Limits(queue=8, body_bytes=1024, answer_bytes=1024)
 
 
-class SetClock(timers.TimerService):
-    """A clock that a test sets; nobody is ever called."""
+class ManualClock(timers.TimerService):
+    """A clock that the test sets; its timers never fire."""
 
     def __init__(self) -> None:
         super().__init__(random.Random(1))
@@ -33,7 +33,7 @@
         return self.at
 
 
-def spec(
+def service_spec(
     name: str, depends_on: Iterable[str] = (), deadline_ms: int = 1000
 ) -> config.ServiceSpec:
     return config.ServiceSpec(
@@ -51,13 +51,16 @@
 def version(
     revision: int, services: Mapping[str, Iterable[str]]
 ) -> config.ConfigVersion:
-    """Return a version with services by name and what they depend on."""
+    """Return a configuration version.
+
+    :param services: names of the dependencies by service name.
+    """
     return config.ConfigVersion(
         revision=revision,
         write_id=f'write-{revision}',
         availability_zones=('z1', 'z2'),
         services={
-            name: spec(name, depends_on, deadline_ms=revision)
+            name: service_spec(name, depends_on, deadline_ms=revision)
             for name, depends_on in services.items()
         },
     )
@@ -108,14 +111,14 @@
 
 
 class Node:
-    """A replica with its links, as one daemon would hold them."""
+    """The replica and link table of one daemon."""
 
     def __init__(
         self, host: str, interest: config.Interest = config.EVERYTHING
     ) -> None:
         self.host = host
         self.counts = counters.Counters()
-        self.clock = SetClock()
+        self.clock = ManualClock()
         events = timeline.Timeline(host, self.clock.wall)
         self.replica = replicas.Replica(
             host, interest, self.clock, events, self.counts
@@ -131,7 +134,7 @@
 
 
 class Pipe:
-    """A stream between two nodes whose frames wait to be delivered."""
+    """A link between two nodes that delivers frames when told to."""
 
     def __init__(
         self, child: Node, parent: Node, reports: bool = True
@@ -161,14 +164,14 @@
             end.table.detach(end)
 
     def send(self, side: int) -> None:
-        """Put all that `side` owes its peer on the way."""
+        """Queue every frame that `side` has pending for its peer."""
         for frame in links.frames(self.ends[side]):
             data = frame.SerializeToString()
             self.bytes_sent += len(data)
             self.waiting[side].append(data)
 
     def deliver(self, side: int) -> control_pb2.Frame | None:
-        """Deliver the oldest frame that `side` sent."""
+        """Deliver the oldest queued frame from `side`, if there is one."""
         if not self.waiting[side]:
             return None
         frame = control_pb2.Frame()
@@ -178,9 +181,9 @@
 
 
 def run_until_quiet(pipes: Iterable[Pipe]) -> int:
-    """Exchange frames until nobody owes any; return their count."""
+    """Exchange frames until no link has any pending; return their count."""
     delivered = 0
-    for _ in range(ROUNDS):
+    for _ in range(MAX_ROUNDS):
         before = delivered
         for pipe in pipes:
             for side in (0, 1):
@@ -189,4 +192,4 @@
                     delivered += 1
         if delivered == before:
             return delivered
-    raise AssertionError('the links never fell quiet')
+    raise AssertionError('links did not become idle')
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the programs as separate processes, for tests."""
+"""Runs the programs as separate processes, for tests."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -20,25 +20,25 @@
 from peridotpost.decisions import idempotency
 from peridotpost.standins import mesh
 
-WAIT_S = 30.0
-POLL_S = 0.02
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.02
 STOP_S = 10.0
 
 
-class WaitedInVain(AssertionError):
-    """What was waited for did not come about."""
+class WaitTimeoutError(AssertionError):
+    """A condition did not become true in time."""
 
 
 @dataclasses.dataclass(slots=True)
 class RunningMesh:
-    """A mesh of processes that a test started."""
+    """A mesh whose programs run as processes of the test."""
 
     plan: mesh.MeshPlan
     directory: pathlib.Path
     started: dict[str, subprocess.Popen[bytes]]
 
     def start(self, name: str, *arguments: str) -> None:
-        """Start a program; its output goes to a file named `name`."""
+        """Start a program; its output is appended to ``<name>.log``."""
         with open(self.directory / f'{name}.log', 'ab') as log:
             self.started[name] = subprocess.Popen(
                 [sys.executable, '-m', *arguments], stdout=log, stderr=log
@@ -73,7 +73,7 @@
         os.kill(self.started[name].pid, number)
 
     def stop(self, name: str) -> int:
-        """End a program by SIGTERM and return its exit code."""
+        """Terminate a program by SIGTERM and return its exit code."""
         self.signal(name, signal.SIGTERM)
         return self.started.pop(name).wait(STOP_S)
 
@@ -90,15 +90,15 @@
             [sys.executable, '-m', 'peridotpost.cli.peridotctl', *arguments],
             capture_output=True,
             text=True,
-            timeout=WAIT_S,
+            timeout=TIMEOUT_S,
             check=False,
         )
 
     def accept(self, text: str) -> int:
-        """Accept `text` and return its version."""
+        """Accept `text` as the configuration; return its revision."""
         file = self.directory / 'text.yaml'
         file.write_text(text)
-        done = self.control(
+        result = self.control(
             'accept',
             str(file),
             '--mesh',
@@ -107,8 +107,8 @@
             self.plan.store,
             '--json',
         )
-        assert done.returncode == 0, done.stdout + done.stderr
-        return int(json.loads(done.stdout)['revision'])
+        assert result.returncode == 0, result.stdout + result.stderr
+        return int(json.loads(result.stdout)['revision'])
 
     def status(self, host: mesh.PlannedHost) -> dict[str, Any]:
         page: dict[str, Any] = get_json(f'http://{host.admin}/v1/status')
@@ -120,7 +120,7 @@
             data=json.dumps(faults).encode(),
             method='PUT',
         )
-        with urllib.request.urlopen(request, timeout=WAIT_S):
+        with urllib.request.urlopen(request, timeout=TIMEOUT_S):
             pass
 
     def wait_ready(self) -> None:
@@ -142,7 +142,7 @@
     def wait_targets(
         self, count: int, hosts: tuple[mesh.PlannedHost, ...] = ()
     ) -> None:
-        """Wait until the hosts' tables hold `count` targets in all."""
+        """Wait until each host's route table has `count` targets."""
         for host in hosts or self.plan.hosts:
             self.wait(
                 functools.partial(self.routes_to, host, count),
@@ -162,37 +162,40 @@
         routes = self.status(host)['routes']
         return sum(len(route['endpoints']) for route in routes)
 
-    def wait(self, holds: Callable[[], bool], what: str) -> None:
-        """Wait until `holds`; a page that cannot be had does not hold.
+    def wait(self, predicate: Callable[[], bool], description: str) -> None:
+        """Poll until `predicate` is true; a failed request counts as false.
 
-        :raises WaitedInVain: it never did; shows the ends of the logs.
+        :raises WaitTimeoutError: after `TIMEOUT_S`; its message contains
+            the end of each log.
         """
-        until = time.monotonic() + WAIT_S
-        while time.monotonic() < until:
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
             with contextlib.suppress(OSError, urllib.error.URLError):
-                if holds():
+                if predicate():
                     return
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         logs = '\n'.join(
             f'--- {name}\n{self.log_of(name)[-1500:]}' for name in self.started
         )
-        raise WaitedInVain(f'waited in vain until {what}\n{logs}')
+        raise WaitTimeoutError(
+            f'timed out waiting until {description}\n{logs}'
+        )
 
 
 def new_key(suffix: str = '') -> str:
-    """Make an idempotency key as a caller would."""
+    """Return a new idempotency key, as a caller generates it."""
     key = idempotency.mint(time.time_ns() // 1_000_000, random.Random())
     return key.text + suffix
 
 
 def get_json(address: str) -> Any:
-    with urllib.request.urlopen(address, timeout=WAIT_S) as answer:
+    with urllib.request.urlopen(address, timeout=TIMEOUT_S) as answer:
         return json.loads(answer.read())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """What a caller received."""
+    """An HTTP answer as a caller received it."""
 
     status: int
     headers: dict[str, str]
@@ -212,7 +215,7 @@
     headers: dict[str, str] | None = None,
     port: str = 'caller_port',
 ) -> HttpAnswer:
-    """Send a caller's request to a daemon."""
+    """Send a request to a port of a daemon, as a caller does."""
     request = urllib.request.Request(
         f'http://127.0.0.1:{host.ports[port]}{path}',
         data=body,
@@ -220,7 +223,7 @@
         headers={'Host': service, **(headers or {})},
     )
     try:
-        with urllib.request.urlopen(request, timeout=WAIT_S) as answer:
+        with urllib.request.urlopen(request, timeout=TIMEOUT_S) as answer:
             return HttpAnswer(
                 answer.status, dict(answer.headers), answer.read()
             )
@@ -237,21 +240,21 @@
     targets: bool = True,
     settings: dict[str, Any] | None = None,
 ) -> Iterator[RunningMesh]:
-    """Start the platform, every daemon and, if asked, every target."""
+    """Run the platform, every daemon and, unless disabled, every target."""
     plan = mesh.plan_mesh(
         text, directory, hosts_per_zone, random.Random(), settings
     )
-    one = RunningMesh(plan, directory, {})
+    running_mesh = RunningMesh(plan, directory, {})
     try:
-        one.start_platform()
+        running_mesh.start_platform()
         for host in plan.hosts:
-            one.start_daemon(host)
+            running_mesh.start_daemon(host)
             if targets:
-                one.start_target(host)
-        yield one
+                running_mesh.start_target(host)
+        yield running_mesh
     finally:
-        for process in one.started.values():
+        for process in running_mesh.started.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
-        for process in one.started.values():
+        for process in running_mesh.started.values():
             process.wait(STOP_S)
--- a/testing/proxies.py
+++ b/testing/proxies.py
@@ -1,4 +1,4 @@
-"""Whole proxies in one process, against the stand-ins, on loopback."""
+"""Complete proxies in one process, with stand-in targets and store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,19 +20,19 @@
 from testing.standins import worker as worker_standin
 
 HOST = 'bonds.example'
-PATIENCE_S = 20.0
-NETWORK = f'127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}'
-"""Loopback addresses of this process; two runs at a time do not meet."""
+TIMEOUT_S = 20.0
+LOOPBACK_PREFIX = f'127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}'
+"""Loopback prefix derived from the process id, so that concurrent test runs
+use different addresses."""
 FIRST_PORT = 20_001
-PORTS = 5
-"""Of each proxy, below the ports that the system hands out: one that was
-free a moment ago may have been given to a connection, or twice, before it
-is opened."""
+PORTS_PER_PROXY = 5
+"""Fixed ports below the ephemeral range: the system may give a port that was
+free when probed to a connection, or to two proxies, before it is opened."""
 
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """What a caller received."""
+    """An answer as a caller received it."""
 
     status: int
     headers: dict[str, str]
@@ -40,7 +40,7 @@
 
 
 class Caller:
-    """One connection of a caller."""
+    """A client connection to a proxy."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -56,25 +56,29 @@
         body: bytes = b'',
         **headers: str,
     ) -> None:
-        """Send a request; ``X_Y`` among `headers` stands for ``X-Y``."""
-        given = {
+        """Send a request; underscores in header names become hyphens."""
+        header_values = {
             'Host': HOST,
             'X-Attempt-Id': attempt,
             'X-Deadline-Remaining-Ms': '5000',
         }
         if body:
-            given['Content-Length'] = str(len(body))
-        given |= {name.replace('_', '-'): headers[name] for name in headers}
-        head = ''.join(f'{name}: {given[name]}\r\n' for name in given)
+            header_values['Content-Length'] = str(len(body))
+        header_values |= {
+            name.replace('_', '-'): headers[name] for name in headers
+        }
+        head = ''.join(
+            f'{name}: {header_values[name]}\r\n' for name in header_values
+        )
         self.writer.write(
             f'{method} {path} HTTP/1.1\r\n{head}\r\n'.encode() + body
         )
 
     async def receive(self) -> Answer:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             head = (await self.reader.readuntil(b'\r\n\r\n')).decode()
-            first, *found = head.split('\r\n')
-            pairs = [line.partition(': ') for line in found if line]
+            first, *header_lines = head.split('\r\n')
+            pairs = [line.partition(': ') for line in header_lines if line]
             headers = {name.lower(): value for name, _, value in pairs}
             length = int(headers.get('content-length', 0))
             body = await self.reader.readexactly(length)
@@ -87,7 +91,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """A proxy and the target beside it."""
+    """A proxy and its local target."""
 
     name: str
     address: str
@@ -98,9 +102,9 @@
 
     @contextlib.asynccontextmanager
     async def caller(self) -> AsyncIterator[Caller]:
-        """Open a caller's connection, from the host's own address.
+        """Open a connection from the host's own address.
 
-        Callers stand on the host, as its target does.
+        Callers run on the same host as the proxy, as its target does.
         """
         ip, port = border.split_address(self.settings.listen.requests)
         reader, writer = await asyncio.open_connection(
@@ -116,9 +120,9 @@
             return await caller.ask(path, **given)
 
     async def announce(self, **changes: Any) -> int:
-        """Send a heartbeat of the target; returns the answer's status."""
+        """Send a heartbeat of the target and return the answer's status."""
         self.sequence += 1
-        told = {
+        heartbeat = {
             'service': self.settings.service,
             'address': self.worker.address,
             'zone': self.settings.availability_zone,
@@ -130,18 +134,18 @@
             'born': 1000,
         }
         instance = changes.pop('instance', self.worker.instance)
-        told |= changes
+        heartbeat |= changes
         return await self.tell(
-            'instances.heartbeat', instance, json.dumps(told).encode()
+            'instances.heartbeat', instance, json.dumps(heartbeat).encode()
         )
 
     async def tell(self, call: str, instance: str, body: bytes) -> int:
         ip, port = border.split_address(self.settings.listen.announcements)
         reader, writer = await asyncio.open_connection(ip, port)
         caller = Caller(reader, writer)
-        target = f'/-/rpc?call={call}&of={instance}'
+        path = f'/-/rpc?call={call}&of={instance}'
         try:
-            answer = await caller.ask(target, method='POST', body=body)
+            answer = await caller.ask(path, method='POST', body=body)
         finally:
             writer.close()
         return answer.status
@@ -150,22 +154,22 @@
 class Mesh:
     """Proxies by name and the store that they share.
 
-    :param logs: folder for their log lines; None to drop these.
+    ``logs`` is the directory of their log files; None discards log lines.
     """
 
     def __init__(self, kv: kv_standin.Kv, store: str) -> None:
         self.kv = kv
         self.store = store
         self.hosts: dict[str, Host] = {}
-        self.stack = contextlib.AsyncExitStack()
-        self.started = 0
+        self.exit_stack = contextlib.AsyncExitStack()
+        self.started_count = 0
         self.logs: pathlib.Path | None = None
 
-    def _descriptor(self, name: str) -> int:
+    def _log_descriptor(self, name: str) -> int:
         if self.logs is None:
             return -1
         path = self.logs / f'{name}.log'
-        return self.stack.enter_context(path.open('ab')).fileno()
+        return self.exit_stack.enter_context(path.open('ab')).fileno()
 
     async def add(
         self,
@@ -175,10 +179,10 @@
         slots: int = 4,
         link_mbps: float = 1000.0,
     ) -> Host:
-        """Start a proxy and its target, not announced yet."""
-        address = f'{NETWORK}.{1 + len(self.hosts)}'
+        """Start a proxy and its target, which is not announced yet."""
+        address = f'{LOOPBACK_PREFIX}.{1 + len(self.hosts)}'
         worker = worker_standin.Worker(f'i-{name}', slots)
-        await self.stack.enter_async_context(
+        await self.exit_stack.enter_async_context(
             worker_standin.serving(worker, address)
         )
         host = await self.start_proxy(
@@ -196,20 +200,20 @@
         worker: worker_standin.Worker,
         link_mbps: float = 1000.0,
     ) -> Host:
-        first_port = FIRST_PORT + PORTS * self.started
-        self.started += 1
+        first_port = FIRST_PORT + PORTS_PER_PROXY * self.started_count
+        self.started_count += 1
         settings = _settings(
             name, address, zone, service, worker, self.store, first_port
         )
         settings = msgspec.structs.replace(settings, link_mbps=link_mbps)
-        adapter = self.stack.enter_context(assembly.adapter_for(settings))
-        log = lines.LineLog(name, self._descriptor(name))
+        adapter = self.exit_stack.enter_context(assembly.adapter_for(settings))
+        log = lines.LineLog(name, self._log_descriptor(name))
         proxy = daemon.ProxyDaemon(settings, adapter, log)
-        await self.stack.enter_async_context(proxy.running())
+        await self.exit_stack.enter_async_context(proxy.running())
         return Host(name, address, settings, proxy, worker)
 
     async def ready(self, service: str = 'register') -> None:
-        """Wait until every proxy knows every announced target."""
+        """Wait until every proxy routes to every announced target."""
         hosts = list(self.hosts.values())
         expected = sum(
             one.proxy.guard.status().ready
@@ -238,7 +242,7 @@
     store: str,
     first_port: int,
 ) -> border.ProxySettings:
-    ports = range(first_port, first_port + PORTS)
+    ports = range(first_port, first_port + PORTS_PER_PROXY)
     listen = border.Listen(*(f'{address}:{port}' for port in ports))
     return border.ProxySettings(
         host=name,
@@ -252,7 +256,10 @@
 
 
 def config(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return the operators' text: one idempotent route, one not."""
+    """Return an operators' configuration of three routes.
+
+    ``read`` and ``other`` are idempotent, ``write`` is not.
+    """
     return {
         'version': version,
         'routes': [
@@ -266,7 +273,7 @@
 
 
 def route(
-    name: str, prefix: str, kind: str, rank: int, service: str
+    name: str, prefix: str, kind: str, priority: int, service: str
 ) -> dict[str, Any]:
     return {
         'name': name,
@@ -275,7 +282,7 @@
         'kind': kind,
         'timeoutMs': 4000,
         'targetLatencyMs': 1000,
-        'priority': rank,
+        'priority': priority,
         'service': service,
         'maxAttempts': 2,
     }
@@ -283,19 +290,19 @@
 
 @contextlib.asynccontextmanager
 async def running() -> AsyncIterator[Mesh]:
-    """A store with the configuration, and no proxies yet."""
+    """Run a store and an empty mesh."""
     kv = kv_standin.Kv()
     async with kv_standin.serving(kv) as store:
         mesh = Mesh(kv, store)
-        async with mesh.stack:
+        async with mesh.exit_stack:
             yield mesh
 
 
 @contextlib.asynccontextmanager
 async def full(logs: pathlib.Path | None = None) -> AsyncIterator[Host]:
-    """One host whose target has one slot, which a request holds.
+    """Run one host whose target has one slot, occupied by a request.
 
-    :param logs: folder for log lines.
+    :param logs: directory of the log files.
     """
     async with running() as mesh:
         mesh.logs = logs
@@ -303,17 +310,17 @@
         host = await mesh.add('a', slots=1)
         await host.announce()
         await mesh.ready()
-        async with host.caller() as holding:
-            holding.send('/read/hold', attempt='holds')
+        async with host.caller() as blocking_caller:
+            blocking_caller.send('/read/hold', attempt='holds')
             await host.worker.began.wait()
             yield host
             host.worker.release.set()
-            assert (await holding.receive()).status == 200
+            assert (await blocking_caller.receive()).status == 200
 
 
 @contextlib.asynccontextmanager
 async def pair() -> AsyncIterator[tuple[Mesh, Host, Host]]:
-    """Two proxies of one service in one zone, ready."""
+    """Run two ready proxies of one service in one availability zone."""
     async with running() as mesh:
         await mesh.kv.configure(config())
         first = await mesh.add('a')
--- a/testing/test_call_invariants.py
+++ b/testing/test_call_invariants.py
@@ -1,8 +1,8 @@
-"""What must hold for every call, whatever targets and callers do.
+"""Invariants of calls under random faults of targets and callers.
 
-Two daemons that take calls in, three with targets that misbehave at random,
-callers that hang up or have no time: each call gets the whole answer to
-its own request or a definite word, and the word is true.
+Callers use three of five daemons, three of which have faulty targets; some
+callers disconnect or set short deadlines.  Each call gets the complete
+answer to its own request or an explicit outcome, and the outcome is true.
 """
 
 import asyncio
@@ -15,19 +15,19 @@
 from testing import callpath
 from testing import conditions
 
-CALLS = 250
-LATE_BY = 5
-"""A late answer comes after so many other requests have come."""
-SHED = b'HTTP/1.1 503 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n'
+CALL_COUNT = 250
+LATE_ANSWER_REQUESTS = 5
+"""Number of further requests after which a late answer is sent."""
+REJECTION = b'HTTP/1.1 503 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n'
 
 
-class Misbehaving:
-    """Targets that share a record of what they ran."""
+class FaultyTargets:
+    """Targets with random faults and shared counts of the requests run."""
 
     def __init__(self, randomness: random.Random) -> None:
         self.randomness = randomness
         self.runs: collections.Counter[str] = collections.Counter()
-        self.read = 0
+        self.requests_read = 0
         self.all_sent = False
 
     async def serve(
@@ -41,45 +41,49 @@
                 writer.transport.abort()
                 return
             request = await state.read_request(reader)
-            self.read += 1
+            self.requests_read += 1
             path = request.split(b' ')[1]
-            act = self.randomness.random()
-            if act < 0.08:
-                writer.write(SHED)
+            fault = self.randomness.random()
+            if fault < 0.08:
+                writer.write(REJECTION)
                 continue
-            # Read whole is run, though no answer may come of it.
+            # A request read completely counts as run, answered or not.
             self.runs[path.decode()] += 1
             head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % len(path)
             answer = head + path
-            if act < 0.16:
+            if fault < 0.16:
                 return
-            if act < 0.24:
+            if fault < 0.24:
                 writer.write(answer[: self.randomness.randrange(len(answer))])
                 return
-            if act < 0.32:
-                await self._others_came(reader)
-            if act > 0.92:
+            if fault < 0.32:
+                await self._wait_for_later_requests(reader)
+            if fault > 0.92:
                 answer += answer
             writer.write(answer)
 
-    async def _others_came(self, reader: asyncio.StreamReader) -> None:
-        """Wait for others, the last caller, or the end of the connection."""
-        due = self.read + LATE_BY
+    async def _wait_for_later_requests(
+        self, reader: asyncio.StreamReader
+    ) -> None:
+        """Wait for more requests, the last caller, or a closed connection."""
+        due = self.requests_read + LATE_ANSWER_REQUESTS
         await conditions.until(
-            lambda: self.read >= due or self.all_sent or reader.at_eof()
+            lambda: (
+                self.requests_read >= due or self.all_sent or reader.at_eof()
+            )
         )
 
 
 @pytest.mark.parametrize('seed', range(4))
-async def test_every_word_is_true(seed: int) -> None:
+async def test_every_reported_outcome_is_correct(seed: int) -> None:
     randomness = random.Random(seed)
-    targets = Misbehaving(randomness)
-    told: dict[str, callpath.Reply] = {}
+    targets = FaultyTargets(randomness)
+    replies: dict[str, callpath.Reply] = {}
     sent = 0
 
     async def call(number: int, port: int) -> None:
-        # Refusals by the guards come and go with the timing of the run;
-        # those for want of a service come in each run.
+        # Rejections by guards depend on timing.  Calls of an unknown
+        # service make sure that every run has rejected calls.
         known = number % 25 > 0
         service = randomness.choice(['read', 'write']) if known else 'none'
         path = f'/{service}/{number}'
@@ -89,19 +93,19 @@
         nonlocal sent
         await asyncio.sleep(randomness.random() / 2)
         sent += 1
-        targets.all_sent = sent == CALLS
+        targets.all_sent = sent == CALL_COUNT
         async with callpath.caller(port) as caller:
             if randomness.random() < 0.1:
                 await caller.send(
                     callpath.request(service, 'POST', path, b'x', *headers)
                 )
-                reply = asyncio.ensure_future(caller.reply())
+                reply = asyncio.ensure_future(caller.read_reply())
                 await conditions.until(
                     lambda: targets.runs[path] > 0 or reply.done()
                 )
                 reply.cancel()
                 return
-            told[path] = await caller.ask(
+            replies[path] = await caller.ask(
                 service, 'POST', path, b'x', *headers
             )
 
@@ -121,20 +125,20 @@
         await asyncio.gather(
             *(
                 call(number, nodes[2 + number % 3].port)
-                for number in range(CALLS)
+                for number in range(CALL_COUNT)
             )
         )
         for node in nodes:
             await conditions.until(
                 lambda: node.guard.in_flight == 0,
-                'all ended',
+                'all calls have ended',
             )
-            for one in node.guard.gates.held.values():
-                assert one.gate.running == one.gate.waiting == 0
+            for held in node.guard.gates.held.values():
+                assert held.gate.running == held.gate.waiting == 0
             assert node.router.book.outstanding == {}
-    words = collections.Counter(reply.word for reply in told.values())
-    assert min(words.values()) > 0 and len(words) == 3, words
-    for path, reply in told.items():
+    outcomes = collections.Counter(reply.word for reply in replies.values())
+    assert min(outcomes.values()) > 0 and len(outcomes) == 3, outcomes
+    for path, reply in replies.items():
         if reply.word == 'not-run':
             assert targets.runs[path] == 0, path
         elif reply.word == 'answered' and reply.status == 200:
--- a/testing/test_caller_contract.py
+++ b/testing/test_caller_contract.py
@@ -1,4 +1,4 @@
-"""What a caller may send, and what it gets for it; on real sockets."""
+"""Requests of callers and their answers, over real sockets."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,12 +13,12 @@
 from testing import callpath
 from testing import conditions
 
-BAD_NUMBER = 'a' * 5
-ENDLESS_NUMBER = '9' * 5000
+NON_NUMERIC_TIMEOUT = 'a' * 5
+HUGE_TIMEOUT = '9' * 5000
 
 
 @contextlib.asynccontextmanager
-async def path(
+async def node_with_target(
     service: str = 'read', **options: object
 ) -> AsyncIterator[tuple[callpath.Node, standin.Target]]:
     """Run a node with one stand-in target of `service`."""
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ('raw', 'status', 'word', 'kind'),
+    ('raw', 'status', 'outcome', 'problem_type'),
     [
         pytest.param(b'gar bage\r\n\r\n', 400, 'answered', '', id='garbage'),
         pytest.param(
@@ -125,8 +125,8 @@
             )
             for number, header in enumerate(
                 (
-                    f'Peridot-Timeout-Ms: {BAD_NUMBER}',
-                    f'Peridot-Timeout-Ms: {ENDLESS_NUMBER}',
+                    f'Peridot-Timeout-Ms: {NON_NUMERIC_TIMEOUT}',
+                    f'Peridot-Timeout-Ms: {HUGE_TIMEOUT}',
                     'Peridot-Timeout-Ms: -1',
                     'Peridot-Timeout-Ms: 1.5',
                     'Peridot-Depth: x',
@@ -149,17 +149,17 @@
         ),
     ],
 )
-async def test_bad_request_gets_a_clear_answer_and_reaches_no_target(
-    raw: bytes, status: int, word: str, kind: str
+async def test_invalid_request_is_rejected_and_reaches_no_target(
+    raw: bytes, status: int, outcome: str, problem_type: str
 ) -> None:
-    async with path() as (node, target):
+    async with node_with_target() as (node, target):
         async with callpath.caller(node.port) as caller:
             await caller.send(raw)
-            reply = await caller.reply()
-            assert (reply.status, reply.word) == (status, word)
-            if kind:
+            reply = await caller.read_reply()
+            assert (reply.status, reply.word) == (status, outcome)
+            if problem_type:
                 problem = json.loads(reply.body)
-                assert problem['type'].endswith(kind)
+                assert problem['type'].endswith(problem_type)
                 assert problem['status'] == status
                 assert problem['detail']
         async with callpath.caller(node.port) as caller:
@@ -182,9 +182,9 @@
         ),
     ],
 )
-async def test_request_cut_short_reaches_no_target(raw: bytes) -> None:
-    """A caller dies while it sends; a part must not run as the whole."""
-    async with path() as (node, target):
+async def test_truncated_request_reaches_no_target(raw: bytes) -> None:
+    """A caller crashes while sending; the partial request must not run."""
+    async with node_with_target() as (node, target):
         async with callpath.caller(node.port) as caller:
             await caller.send(raw)
         async with callpath.caller(node.port) as caller:
@@ -194,66 +194,66 @@
 
 
 async def test_oversized_header_closes_the_connection() -> None:
-    async with path() as (node, target):
+    async with node_with_target() as (node, target):
         async with callpath.caller(node.port) as caller:
             raw = callpath.request(
                 'read', 'GET', '/', b'', 'X: ' + 'x' * 10**5
             )
             with contextlib.suppress(ConnectionError):
                 await caller.send(raw)
-            assert await caller.ended()
+            assert await caller.reads_eof()
         assert target.counts['ran'] == 0
 
 
-async def test_expected_body_is_asked_for() -> None:
-    async with path('write') as (node, target):
+async def test_expect_continue_gets_100_before_the_body() -> None:
+    async with node_with_target('write') as (node, target):
         async with callpath.caller(node.port) as caller:
             await caller.send(
                 b'POST / HTTP/1.1\r\nHost: write\r\nContent-Length: 2\r\n'
                 b'Expect: 100-continue\r\n\r\n'
             )
-            assert (await caller.reply()).status == 100
+            assert (await caller.read_reply()).status == 100
             await caller.send(b'ab')
-            assert json.loads((await caller.reply()).body)['body'] == 'ab'
+            assert json.loads((await caller.read_reply()).body)['body'] == 'ab'
         assert target.counts['ran'] == 1
 
 
 async def test_connection_is_reused_and_pipelined_requests_keep_order() -> (
     None
 ):
-    async with path() as (node, target):
+    async with node_with_target() as (node, target):
         async with callpath.caller(node.port) as caller:
             for number in range(3):
                 reply = await caller.ask('read', 'GET', f'/{number}')
                 assert json.loads(reply.body)['path'] == f'/{number}'
-            both = callpath.request(
+            slow = callpath.request(
                 'read', 'GET', '/slow', b'', 'Standin-Work-Ms: 30'
             )
-            await caller.send(both + callpath.request('read', 'GET', '/fast'))
-            for wanted in ('/slow', '/fast'):
-                reply = await caller.reply()
-                assert json.loads(reply.body)['path'] == wanted
+            await caller.send(slow + callpath.request('read', 'GET', '/fast'))
+            for expected in ('/slow', '/fast'):
+                reply = await caller.read_reply()
+                assert json.loads(reply.body)['path'] == expected
         assert target.counts['ran'] == 5
         assert node.counts.totals['connection.opened'] == 1
 
 
 @pytest.mark.parametrize(
-    ('size', 'status', 'word'),
+    ('size', 'status', 'outcome'),
     [
         pytest.param(4999, 200, 'answered', id='below'),
         pytest.param(5000, 200, 'answered', id='at'),
         pytest.param(5001, 502, 'unknown', id='over'),
     ],
 )
-async def test_answer_is_whole_up_to_the_limit(
-    size: int, status: int, word: str
+async def test_answer_is_complete_up_to_the_size_limit(
+    size: int, status: int, outcome: str
 ) -> None:
-    async with path() as (node, _):
+    async with node_with_target() as (node, _):
         async with callpath.caller(node.port) as caller:
             reply = await caller.ask(
                 'read', 'GET', '/', b'', f'Standin-Answer-Bytes: {size}'
             )
-            assert (reply.status, reply.word) == (status, word)
+            assert (reply.status, reply.word) == (status, outcome)
             if status == 200:
                 assert reply.body == b'x' * size
 
@@ -272,7 +272,7 @@
 }
 
 
-async def canned(
+async def answer_by_path(
     state: callpath.Scripted,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
@@ -282,11 +282,11 @@
         writer.write(ANSWERS[request.split(b' ')[1].decode()])
 
 
-async def test_answers_without_a_body_and_headers_both_ways() -> None:
-    """Headers of one connection stay on it, all others pass, repeated too."""
+async def test_bodiless_answers_and_header_forwarding() -> None:
+    """Hop-by-hop headers are dropped; others pass, also repeated ones."""
     async with (
         callpath.node('h1') as node,
-        callpath.scripted(canned) as target,
+        callpath.scripted(answer_by_path) as target,
         callpath.caller(node.port) as caller,
     ):
         node.announce('read', target.port)
@@ -334,13 +334,13 @@
     ],
 )
 @pytest.mark.parametrize('remote', [False, True], ids=['same-host', 'peer'])
-async def test_caller_that_leaves(
+async def test_caller_disconnects_during_its_call(
     service: str, cancelled: int, ran: int, remote: bool
 ) -> None:
-    """A caller hangs up while its call runs at the target.
+    """A caller disconnects while its call runs at the target.
 
-    A read that nobody waits for gives its slot back at once; a dispatch
-    goes on, so that a resend of its key finds the answer.
+    An idempotent call is cancelled, which frees its slot at once.  Any other
+    call continues, so that a retry with the same key finds the answer.
     """
     async with (
         callpath.node('h1') as front,
@@ -351,7 +351,7 @@
         host.announce(service, target.settings.port)
         front.meet(back)
         async with callpath.caller(front.port) as caller:
-            # Longer than the test waits, if it is to be cancelled.
+            # A call to be cancelled must not end by itself during the test.
             work = 60_000 if cancelled else 200
             await caller.send(
                 callpath.request(
@@ -363,20 +363,26 @@
                     'Peridot-Timeout-Ms: 3000',
                 )
             )
-            await conditions.until(lambda: target.running == 1, 'it runs')
-        await conditions.until(lambda: target.running == 0, 'it ended')
-        await conditions.until(lambda: host.guard.in_flight == 0, 'it is free')
-        # It ended because its caller had gone, not by its deadline.
+            await conditions.until(
+                lambda: target.running == 1, 'the call runs'
+            )
+        await conditions.until(
+            lambda: target.running == 0, 'the call has ended'
+        )
+        await conditions.until(
+            lambda: host.guard.in_flight == 0, 'the slot is free'
+        )
+        # The call ended because of the disconnect, not its deadline.
         assert host.counts.totals['guard.deadline'] == 0
         assert target.counts['cancelled'] == cancelled
         assert target.counts['ran'] == ran
-        for gate in host.guard.gates.held.values():
-            assert gate.gate.running == gate.gate.waiting == 0
+        for held in host.guard.gates.held.values():
+            assert held.gate.running == held.gate.waiting == 0
 
 
-async def test_caller_that_leaves_while_its_call_waits_for_a_slot() -> None:
-    """Nobody is left to answer: its place in the queue goes to others."""
-    async with path(slots=1) as (node, target):
+async def test_caller_disconnects_while_its_call_is_queued() -> None:
+    """The call leaves the queue, and queued calls behind it move up."""
+    async with node_with_target(slots=1) as (node, target):
         node.announce('read', target.settings.port, slots=1)
         async with contextlib.AsyncExitStack() as stack:
             callers = [
@@ -395,73 +401,80 @@
                         sum(one.gate.waiting for one in gates.values())
                         == number
                     ),
-                    'it waits',
+                    'the call is queued',
                 )
             callers[1].writer.close()
             await conditions.until(
-                lambda: next(iter(gates.values())).gate.waiting == 1, 'gone'
+                lambda: next(iter(gates.values())).gate.waiting == 1,
+                'the call has left the queue',
             )
-            assert (await callers[0].reply()).status == 200
-            assert (await callers[2].reply()).status == 200
+            assert (await callers[0].read_reply()).status == 200
+            assert (await callers[2].read_reply()).status == 200
         assert target.counts['ran'] == 2
         assert target.counts['cancelled'] == 0
 
 
-async def test_sender_that_stops_in_the_middle_is_cut_off(
+async def test_stalled_request_body_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A body that never ends must not hold its memory for good."""
+    """A body that never completes must not occupy memory forever."""
     monkeypatch.setattr(ingress, 'BODY_TIMEOUT_S', 0.05)
-    async with path() as (node, target):
+    async with node_with_target() as (node, target):
         async with callpath.caller(node.port) as caller:
             await caller.send(callpath.request('read', 'PUT', '/', b'xy')[:-1])
-            assert await caller.ended()
+            assert await caller.reads_eof()
         assert target.counts['ran'] == 0
 
 
-async def test_bodies_held_together_are_bounded(
+async def test_total_buffered_body_bytes_are_limited(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Many callers send large bodies at once, slowly.
+    """Many callers send large bodies slowly at the same time.
 
-    What does not fit is refused with a time to come back, and what was
-    held is given back when its callers have their answers or are gone.
+    A body over the total limit is rejected with Retry-After.  Buffered bytes
+    are released when the caller has its answer or disconnects.
     """
     monkeypatch.setattr(requests, 'MAX_HELD_BYTES', 1500)
-    async with path() as (node, target):
+    async with node_with_target() as (node, target):
         async with (
             callpath.caller(node.port) as first,
-            callpath.caller(node.port) as gone,
+            callpath.caller(node.port) as leaving,
             callpath.caller(node.port) as second,
         ):
             body = b'x' * 1000
             raw = callpath.request('read', 'PUT', '/', body)
-            await gone.send(raw[:-500])
-            await conditions.until(lambda: held(node) == 500, 'held')
+            await leaving.send(raw[:-500])
+            await conditions.until(
+                lambda: buffered_bytes(node) == 500, 'buffered'
+            )
             await first.send(raw[:-1])
-            await conditions.until(lambda: held(node) == 1499, 'held')
+            await conditions.until(
+                lambda: buffered_bytes(node) == 1499, 'buffered'
+            )
             reply = await second.ask('read', 'PUT', '/', body)
             assert (reply.status, reply.word) == (503, 'not-run')
             assert reply.header('Retry-After') == '1'
-            gone.writer.close()
+            leaving.writer.close()
             await first.send(raw[-1:])
-            assert (await first.reply()).status == 200
-            await conditions.until(lambda: held(node) == 0, 'given back')
+            assert (await first.read_reply()).status == 200
+            await conditions.until(
+                lambda: buffered_bytes(node) == 0, 'released'
+            )
         assert target.counts['ran'] == 1
 
 
-def held(node: callpath.Node) -> int:
+def buffered_bytes(node: callpath.Node) -> int:
     return node.ingress.held_bytes
 
 
-async def test_fault_of_ours_is_answered_as_unknown(
+async def test_internal_error_is_answered_as_unknown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A defect raises in the middle of a call, which may have run.
+    """An exception in the daemon interrupts a call that may have run.
 
-    The caller once got nothing and waited for its own timeout.
+    Without an answer, the caller would wait for its own timeout.
     """
-    async with path() as (node, _):
+    async with node_with_target() as (node, _):
 
         async def broken(call: object) -> object:
             raise RuntimeError('broken')
@@ -472,11 +485,11 @@
         assert (reply.status, reply.word) == (502, 'unknown')
 
 
-async def test_many_callers_at_once_each_get_their_own_answer() -> None:
-    async with path(slots=64) as (node, target):
+async def test_concurrent_callers_each_get_their_own_answer() -> None:
+    async with node_with_target(slots=64) as (node, target):
         node.announce('read', target.settings.port, slots=64)
 
-        async def one(number: int) -> callpath.Reply:
+        async def call(number: int) -> callpath.Reply:
             async with callpath.caller(node.port) as caller:
                 return await caller.ask(
                     'read',
@@ -486,13 +499,13 @@
                     f'Peridot-Caller: {number}',
                 )
 
-        replies = await asyncio.gather(*(one(n) for n in range(300)))
-        told_run = 0
+        replies = await asyncio.gather(*(call(n) for n in range(300)))
+        answered = 0
         for number, reply in enumerate(replies):
             if reply.status == 200:
-                told_run += 1
+                answered += 1
                 assert json.loads(reply.body)['path'] == f'/{number}'
             else:
                 assert reply.word == 'not-run'
                 assert int(reply.header('Retry-After')) >= 1
-        assert target.counts['ran'] == told_run
+        assert target.counts['ran'] == answered
--- a/testing/test_peer_contract.py
+++ b/testing/test_peer_contract.py
@@ -1,4 +1,4 @@
-"""Streams of calls between daemons, with a faulty end; real sockets."""
+"""Call streams between daemons with one faulty end, over real sockets."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,18 +16,20 @@
 from testing import callpath
 from testing import conditions
 
-HEADER = frames.LENGTH
+LENGTH_PREFIX = frames.LENGTH
 
 
 @dataclasses.dataclass(slots=True)
-class Wire:
-    """One stream, seen from a faulty end."""
+class StreamEnd:
+    """An end of a call stream whose frames the test controls."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     async def read(self) -> frames.Frame:
-        (length,) = HEADER.unpack(await self.reader.readexactly(HEADER.size))
+        (length,) = LENGTH_PREFIX.unpack(
+            await self.reader.readexactly(LENGTH_PREFIX.size)
+        )
         return frames.decoder.decode(await self.reader.readexactly(length))
 
     async def read_call(self) -> frames.CallFrame:
@@ -41,26 +43,28 @@
 
 
 def answer(call: frames.CallFrame, number: int = 0) -> frames.AnswerFrame:
-    """Answer with the path of the request that `call` carries."""
+    """Answer `call` with the path of its request as the body."""
     body = call.call.path.encode()
     return frames.AnswerFrame(
         number or call.number, calls.Answer(200, 'OK', (), body)
     )
 
 
-Act = Callable[[Wire], Awaitable[None]]
+FaultyBehaviour = Callable[[StreamEnd], Awaitable[None]]
 
 
 @contextlib.asynccontextmanager
-async def faulty_guard(front: callpath.Node, act: Act) -> AsyncIterator[None]:
-    """Let `front` know a host whose guard does as `act` says."""
+async def faulty_guard(
+    front: callpath.Node, behaviour: FaultyBehaviour
+) -> AsyncIterator[None]:
+    """Add a host to `front` whose guard follows `behaviour`."""
 
     async def script(
         state: callpath.Scripted,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        await act(Wire(reader, writer))
+        await behaviour(StreamEnd(reader, writer))
 
     async with callpath.scripted(script) as server:
         ready = members.TargetState.READY
@@ -86,76 +90,78 @@
         yield
 
 
-async def cuts(wire: Wire) -> None:
-    await wire.read_call()
+async def closes_after_call(end: StreamEnd) -> None:
+    await end.read_call()
 
 
-async def sends_too_long(wire: Wire) -> None:
-    await wire.read_call()
-    wire.writer.write(HEADER.pack(frames.MAX_FRAME_BYTES + 1))
-    await wire.reader.read(1)
+async def sends_oversized_length(end: StreamEnd) -> None:
+    await end.read_call()
+    end.writer.write(LENGTH_PREFIX.pack(frames.MAX_FRAME_BYTES + 1))
+    await end.reader.read(1)
 
 
-async def sends_garbage(wire: Wire) -> None:
-    await wire.read_call()
-    wire.writer.write(HEADER.pack(7) + b'\xc1garbag')
-    await wire.reader.read(1)
+async def sends_garbage(end: StreamEnd) -> None:
+    await end.read_call()
+    end.writer.write(LENGTH_PREFIX.pack(7) + b'\xc1garbag')
+    await end.reader.read(1)
 
 
-async def sends_unknown_tag(wire: Wire) -> None:
-    call = await wire.read_call()
+async def sends_unknown_tag(end: StreamEnd) -> None:
+    call = await end.read_call()
     body = frames.encoder.encode(['gossip', call.number])
-    wire.writer.write(HEADER.pack(len(body)) + body)
-    await wire.reader.read(1)
+    end.writer.write(LENGTH_PREFIX.pack(len(body)) + body)
+    await end.reader.read(1)
 
 
-async def sends_wrong_shape(wire: Wire) -> None:
-    call = await wire.read_call()
+async def sends_wrong_shape(end: StreamEnd) -> None:
+    call = await end.read_call()
     body = frames.encoder.encode(['answer', call.number, {'status': 'fine'}])
-    wire.writer.write(HEADER.pack(len(body)) + body)
-    await wire.reader.read(1)
+    end.writer.write(LENGTH_PREFIX.pack(len(body)) + body)
+    await end.reader.read(1)
 
 
-async def sends_a_call_back(wire: Wire) -> None:
-    wire.send(await wire.read_call())
-    await wire.reader.read(1)
+async def sends_a_call_back(end: StreamEnd) -> None:
+    end.send(await end.read_call())
+    await end.reader.read(1)
 
 
-async def truncates(wire: Wire) -> None:
-    call = await wire.read_call()
-    wire.writer.write(frames.encode(answer(call))[:-1])
+async def truncates_answer(end: StreamEnd) -> None:
+    call = await end.read_call()
+    end.writer.write(frames.encode(answer(call))[:-1])
 
 
-async def numbers_wrongly(wire: Wire) -> None:
-    call = await wire.read_call()
-    wire.send(answer(call, call.number + 7))
+async def sends_wrong_number(end: StreamEnd) -> None:
+    call = await end.read_call()
+    end.send(answer(call, call.number + 7))
 
 
-async def sends_empty_frame(wire: Wire) -> None:
-    await wire.read_call()
-    wire.writer.write(HEADER.pack(0))
-    await wire.reader.read(1)
+async def sends_empty_frame(end: StreamEnd) -> None:
+    await end.read_call()
+    end.writer.write(LENGTH_PREFIX.pack(0))
+    await end.reader.read(1)
 
 
 @pytest.mark.parametrize(
-    'act',
+    'behaviour',
     [
-        cuts,
-        sends_too_long,
+        closes_after_call,
+        sends_oversized_length,
         sends_garbage,
         sends_unknown_tag,
         sends_wrong_shape,
         sends_a_call_back,
-        truncates,
-        numbers_wrongly,
+        truncates_answer,
+        sends_wrong_number,
         sends_empty_frame,
     ],
 )
-async def test_faulty_guard_costs_no_caller_its_answer(act: Act) -> None:
+async def test_caller_gets_an_answer_despite_a_faulty_guard(
+    behaviour: FaultyBehaviour,
+) -> None:
     """The stream to a guard breaks with a call in flight.
 
-    An idempotent one is run by another target.  The other may have run, so
-    that it is told as unknown, and is sent nowhere else.
+    An idempotent call is retried at another target.  Any other call may have
+    run, so that its outcome is unknown and it is not retried.
     """
     async with (
         callpath.node('front') as front,
@@ -165,11 +171,11 @@
         callpath.caller(front.port) as caller,
     ):
         good.announce('read', read.settings.port)
-        async with faulty_guard(front, act):
+        async with faulty_guard(front, behaviour):
             reply = await caller.ask('write', 'POST', '/w', b'x')
             assert (reply.status, reply.word) == (502, 'unknown')
             front.meet(good)
-            # Have the faulty one look less loaded.
+            # Make the faulty target the less loaded one.
             for _ in range(3):
                 front.router.book.sent('good/t-good')
             reply = await caller.ask('read', 'GET', '/r')
@@ -178,15 +184,18 @@
         assert (read.counts['ran'], write.counts['ran']) == (1, 0)
 
 
-async def test_crossed_answers_go_to_their_own_callers() -> None:
-    async def crosses(wire: Wire) -> None:
-        first = await wire.read_call()
-        second = await wire.read_call()
-        unasked = answer(first, 99)
-        wire.send(answer(second), unasked, answer(first), answer(first))
-        await wire.reader.read(1)
+async def test_reordered_answers_reach_their_own_callers() -> None:
+    async def sends_reordered(end: StreamEnd) -> None:
+        first = await end.read_call()
+        second = await end.read_call()
+        unsolicited = answer(first, 99)
+        end.send(answer(second), unsolicited, answer(first), answer(first))
+        await end.reader.read(1)
 
-    async with callpath.node('front') as front, faulty_guard(front, crosses):
+    async with (
+        callpath.node('front') as front,
+        faulty_guard(front, sends_reordered),
+    ):
         paths = ('/one', '/two')
 
         async def ask(path: str) -> callpath.Reply:
@@ -196,21 +205,22 @@
         replies = await asyncio.gather(*(ask(path) for path in paths))
         assert [one.body.decode() for one in replies] == list(paths)
         await conditions.until(
-            lambda: front.counts.totals['peer.late'] == 2, 'both dropped'
+            lambda: front.counts.totals['peer.late'] == 2,
+            'both surplus answers are dropped',
         )
 
 
-async def test_answer_that_comes_late_is_not_given_to_the_next_call() -> None:
-    async def is_late(wire: Wire) -> None:
-        first = await wire.read_call()
-        assert isinstance(await wire.read(), frames.CancelFrame)
-        second = await wire.read_call()
-        wire.send(answer(first), answer(second))
-        await wire.reader.read(1)
+async def test_late_answer_is_not_given_to_the_next_call() -> None:
+    async def answers_late(end: StreamEnd) -> None:
+        first = await end.read_call()
+        assert isinstance(await end.read(), frames.CancelFrame)
+        second = await end.read_call()
+        end.send(answer(first), answer(second))
+        await end.reader.read(1)
 
     async with (
         callpath.node('front') as front,
-        faulty_guard(front, is_late),
+        faulty_guard(front, answers_late),
         callpath.caller(front.port) as caller,
     ):
         timeout = 'Peridot-Timeout-Ms: 30'
@@ -220,7 +230,7 @@
         assert reply.body == b'/next'
 
 
-def a_call(service: str = 'read', **changes: object) -> frames.CallFrame:
+def make_call(service: str = 'read', **changes: object) -> frames.CallFrame:
     host = (calls.Header('Host', service),)
     call = calls.Call('r', service, 'GET', '/', host, b'', 2000, True)
     changed = dataclasses.replace(call, **changes)  # type: ignore[arg-type]
@@ -231,11 +241,11 @@
     'raw',
     [
         pytest.param(b'', id='nothing'),
-        pytest.param(frames.encode(a_call())[:-1], id='truncated'),
-        pytest.param(HEADER.pack(2**32 - 1), id='too-long'),
-        pytest.param(HEADER.pack(3) + b'\xc1\xc1\xc1', id='garbage'),
-        pytest.param(HEADER.pack(0), id='empty'),
-        pytest.param(HEADER.pack(1) + b'\x90', id='no-tag'),
+        pytest.param(frames.encode(make_call())[:-1], id='truncated'),
+        pytest.param(LENGTH_PREFIX.pack(2**32 - 1), id='too-long'),
+        pytest.param(LENGTH_PREFIX.pack(3) + b'\xc1\xc1\xc1', id='garbage'),
+        pytest.param(LENGTH_PREFIX.pack(0), id='empty'),
+        pytest.param(LENGTH_PREFIX.pack(1) + b'\x90', id='no-tag'),
         pytest.param(b'GET / HTTP/1.1\r\n\r\n', id='http'),
         pytest.param(
             frames.encode(
@@ -248,7 +258,7 @@
         ),
     ],
 )
-async def test_faulty_stream_to_a_guard_runs_nothing_and_harms_no_other(
+async def test_malformed_stream_runs_nothing_and_leaves_others_working(
     raw: bytes,
 ) -> None:
     async with (
@@ -257,29 +267,29 @@
     ):
         back.announce('read', target.settings.port)
         port = back.myself.record.call_port
-        good = Wire(*await asyncio.open_connection('127.0.0.1', port))
-        bad = Wire(*await asyncio.open_connection('127.0.0.1', port))
+        good = StreamEnd(*await asyncio.open_connection('127.0.0.1', port))
+        bad = StreamEnd(*await asyncio.open_connection('127.0.0.1', port))
         bad.writer.write(raw)
         bad.writer.write_eof()
         assert await asyncio.wait_for(bad.reader.read(), 10) == b''
-        good.send(a_call())
+        good.send(make_call())
         reply = await asyncio.wait_for(good.read(), 10)
         assert isinstance(reply, frames.AnswerFrame)
         assert target.counts['ran'] == 1
-        for wire in (good, bad):
-            wire.writer.close()
+        for end in (good, bad):
+            end.writer.close()
 
 
 @pytest.mark.parametrize(
     ('call', 'reason'),
     [
-        pytest.param(a_call('nobody'), 'no-such-service', id='no-service'),
-        pytest.param(a_call('write'), 'no-target', id='no-target'),
-        pytest.param(a_call(budget_ms=0), 'deadline', id='no-time'),
-        pytest.param(a_call(budget_ms=-5), 'deadline', id='less-than-none'),
+        pytest.param(make_call('nobody'), 'no-such-service', id='no-service'),
+        pytest.param(make_call('write'), 'no-target', id='no-target'),
+        pytest.param(make_call(budget_ms=0), 'deadline', id='no-time'),
+        pytest.param(make_call(budget_ms=-5), 'deadline', id='less-than-none'),
     ],
 )
-async def test_guard_refuses_what_it_cannot_run(
+async def test_guard_rejects_calls_it_cannot_run(
     call: frames.CallFrame, reason: str
 ) -> None:
     async with (
@@ -288,23 +298,24 @@
     ):
         back.announce('read', target.settings.port)
         port = back.myself.record.call_port
-        wire = Wire(*await asyncio.open_connection('127.0.0.1', port))
-        wire.send(call)
-        reply = await asyncio.wait_for(wire.read(), 10)
+        end = StreamEnd(*await asyncio.open_connection('127.0.0.1', port))
+        end.send(call)
+        reply = await asyncio.wait_for(end.read(), 10)
         assert isinstance(reply, frames.NotRunFrame)
         assert reply.refusal.reason.value == reason
         assert reply.refusal.peer == 'back'
         assert target.counts['ran'] == 0
-        wire.writer.close()
+        end.writer.close()
 
 
 @pytest.mark.parametrize('service', ['read', 'write'])
-async def test_call_goes_elsewhere_from_a_guard_that_leaves(
+async def test_call_is_retried_after_a_leaving_guard_rejects_it(
     service: str,
 ) -> None:
-    """A daemon takes no new work any more, and others do not know yet.
+    """A daemon rejects new calls while its peers still route to it.
 
-    Its refusal proves that nothing ran, so any call may go elsewhere.
+    The rejection proves that nothing ran, so any call may be retried at
+    another host.
     """
     async with (
         callpath.node('front') as front,
@@ -344,7 +355,9 @@
                     'read', 'GET', '/', b'', 'Standin-Work-Ms: 60000'
                 )
             )
-            await conditions.until(lambda: target.running == 1, 'it runs')
+            await conditions.until(
+                lambda: target.running == 1, 'the call runs'
+            )
             await fast.ask('read')
         (endpoint,) = front.replica.table.routes['read'].endpoints
         report = front.router.book.reports[choice.key_of(endpoint)]
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -1,4 +1,4 @@
-"""What a target may do wrong, and what the caller is told; real sockets."""
+"""Faults of targets and the outcomes callers get, over real sockets."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,8 +25,8 @@
 OK = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 
 
-def sends(raw: bytes, then_close: bool = True) -> Script:
-    """Return a target that answers each request with `raw`."""
+def sends_bytes(raw: bytes, then_close: bool = True) -> Script:
+    """Return a script that answers each request with `raw`."""
 
     async def script(
         state: callpath.Scripted,
@@ -43,12 +43,12 @@
     return script
 
 
-async def closes_unread(
+async def closes_on_accept(
     state: callpath.Scripted,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Close each connection as soon as it is open."""
+    """Close each connection without reading."""
 
 
 async def never_answers(
@@ -61,7 +61,7 @@
 
 
 @contextlib.asynccontextmanager
-async def path(
+async def node_with_target(
     script: Script, service: str
 ) -> AsyncIterator[tuple[callpath.Node, callpath.Scripted, callpath.Caller]]:
     async with (
@@ -75,24 +75,30 @@
 
 @pytest.mark.parametrize('service', ['read', 'write'])
 @pytest.mark.parametrize(
-    ('script', 'status', 'word', 'body'),
+    ('script', 'status', 'outcome', 'body'),
     [
-        pytest.param(sends(OK), 200, 'answered', b'ok', id='good'),
-        pytest.param(sends(b''), 502, 'unknown', None, id='closes-silently'),
-        pytest.param(closes_unread, 502, 'unknown', None, id='closes-at-once'),
+        pytest.param(sends_bytes(OK), 200, 'answered', b'ok', id='good'),
         pytest.param(
-            sends(OK[:20]), 502, 'unknown', None, id='cut-in-the-headers'
+            sends_bytes(b''), 502, 'unknown', None, id='closes-silently'
         ),
-        pytest.param(sends(OK[:-1]), 502, 'unknown', None, id='cut-body'),
         pytest.param(
-            sends(b'HTTP/1.1 200 OK\r\n\r\nok'),
+            closes_on_accept, 502, 'unknown', None, id='closes-at-once'
+        ),
+        pytest.param(
+            sends_bytes(OK[:20]), 502, 'unknown', None, id='cut-in-the-headers'
+        ),
+        pytest.param(
+            sends_bytes(OK[:-1]), 502, 'unknown', None, id='cut-body'
+        ),
+        pytest.param(
+            sends_bytes(b'HTTP/1.1 200 OK\r\n\r\nok'),
             502,
             'unknown',
             None,
             id='end-cannot-be-told',
         ),
         pytest.param(
-            sends(
+            sends_bytes(
                 b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
                 b'1\r\no\r\n1\r\nk\r\n0\r\n\r\n'
             ),
@@ -102,7 +108,7 @@
             id='chunked',
         ),
         pytest.param(
-            sends(
+            sends_bytes(
                 b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
                 b'1\r\no\r\n'
             ),
@@ -112,7 +118,7 @@
             id='chunked-without-an-end',
         ),
         pytest.param(
-            sends(
+            sends_bytes(
                 b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
                 b'1389\r\n' + b'x' * 5001 + b'\r\n0\r\n\r\n'
             ),
@@ -122,24 +128,28 @@
             id='chunked-over-the-limit',
         ),
         pytest.param(
-            sends(b'\x00\xff garbage\r\n\r\n'),
+            sends_bytes(b'\x00\xff garbage\r\n\r\n'),
             502,
             'unknown',
             None,
             id='garbage',
         ),
         pytest.param(
-            sends(b'SSH-2.0-OpenSSH\r\n'), 502, 'unknown', None, id='no-http'
+            sends_bytes(b'SSH-2.0-OpenSSH\r\n'),
+            502,
+            'unknown',
+            None,
+            id='no-http',
         ),
         pytest.param(
-            sends(b'HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n'),
+            sends_bytes(b'HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n'),
             502,
             'unknown',
             None,
             id='negative-length',
         ),
         pytest.param(
-            sends(
+            sends_bytes(
                 b'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n'
                 b'Content-Length: 2\r\n\r\nok'
             ),
@@ -149,7 +159,7 @@
             id='two-lengths',
         ),
         pytest.param(
-            sends(
+            sends_bytes(
                 b'HTTP/1.1 200 OK\r\nContent-Length: '
                 + b'9' * 5000
                 + b'\r\n\r\n'
@@ -160,35 +170,37 @@
             id='absurd-length',
         ),
         pytest.param(
-            sends(b'HTTP/1.1 200 OK\r\nX: ' + b'x' * 70_000 + b'\r\n\r\n'),
+            sends_bytes(
+                b'HTTP/1.1 200 OK\r\nX: ' + b'x' * 70_000 + b'\r\n\r\n'
+            ),
             502,
             'unknown',
             None,
             id='header-too-large',
         ),
         pytest.param(
-            sends(b'HTTP/1.1 100 Continue\r\n\r\n' + OK),
+            sends_bytes(b'HTTP/1.1 100 Continue\r\n\r\n' + OK),
             200,
             'answered',
             b'ok',
             id='100-first',
         ),
         pytest.param(
-            sends(b'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n' + OK),
+            sends_bytes(b'HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n' + OK),
             200,
             'answered',
             b'ok',
             id='103-first',
         ),
         pytest.param(
-            sends(b'HTTP/1.1 100 Continue\r\n\r\n'),
+            sends_bytes(b'HTTP/1.1 100 Continue\r\n\r\n'),
             502,
             'unknown',
             None,
             id='100-only',
         ),
         pytest.param(
-            sends(b'HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n'),
+            sends_bytes(b'HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n'),
             500,
             'answered',
             b'',
@@ -196,23 +208,23 @@
         ),
     ],
 )
-async def test_caller_gets_the_whole_answer_or_a_definite_word(
-    service: str, script: Script, status: int, word: str, body: bytes | None
+async def test_caller_gets_the_complete_answer_or_a_definite_outcome(
+    service: str, script: Script, status: int, outcome: str, body: bytes | None
 ) -> None:
-    async with path(script, service) as (node, target, caller):
+    async with node_with_target(script, service) as (node, target, caller):
         reply = await caller.ask(service, 'POST', '/', b'x')
-        assert (reply.status, reply.word) == (status, word)
+        assert (reply.status, reply.word) == (status, outcome)
         if body is not None:
             assert reply.body == body
-        # A single target: there is no other to try, and the request is
-        # written once only.
+        # The only target: there is none to retry at, so the request is
+        # sent at most once.
         assert len(target.requests) <= 1
         assert node.guard.gates.held[(service, 't-h1')].gate.running == 0
 
 
-async def test_target_that_refuses_connections_is_withdrawn() -> None:
-    """Nobody listens: a proof that nothing ran, and no need to try again."""
-    async with callpath.scripted(closes_unread) as gone:
+async def test_connection_refused_withdraws_the_target() -> None:
+    """A refused connection proves that nothing ran; no retry is needed."""
+    async with callpath.scripted(closes_on_accept) as gone:
         pass
     async with (
         callpath.node('h1') as node,
@@ -224,8 +236,12 @@
         assert node.targets.found == {}
 
 
-async def test_target_that_never_answers_costs_one_deadline() -> None:
-    async with path(never_answers, 'write') as (node, target, caller):
+async def test_unresponsive_target_is_called_once_until_the_deadline() -> None:
+    async with node_with_target(never_answers, 'write') as (
+        node,
+        target,
+        caller,
+    ):
         reply = await caller.ask(
             'write', 'POST', '/', b'x', 'Peridot-Timeout-Ms: 100'
         )
@@ -234,8 +250,8 @@
         assert node.counts.totals['guard.deadline'] == 1
 
 
-def answers_then(last: Callable[[asyncio.StreamWriter], None]) -> Script:
-    """Return a target that answers once, and acts on the next request."""
+def answers_once_then(last: Callable[[asyncio.StreamWriter], None]) -> Script:
+    """Return a script that answers one request and runs `last` on the next."""
 
     async def script(
         state: callpath.Scripted,
@@ -257,42 +273,46 @@
     writer.transport.abort()
 
 
-def cuts_answer(writer: asyncio.StreamWriter) -> None:
+def truncates_answer(writer: asyncio.StreamWriter) -> None:
     writer.write(OK[:-1])
 
 
 @pytest.mark.parametrize(
-    ('service', 'last', 'word', 'requests'),
+    ('service', 'last', 'outcome', 'requests'),
     [
-        # The kept connection closes exactly while the request is under
-        # way: no byte of an answer, but perhaps the target read it.
+        # The keep-alive connection closes while the request is being sent:
+        # there is no answer, but the target may have read the request.
         pytest.param('read', resets, 'answered', 3, id='idempotent-again'),
         pytest.param('write', resets, 'unknown', 2, id='other-unknown'),
-        # Once an answer has begun it is no stale connection.
-        pytest.param('read', cuts_answer, 'unknown', 2, id='answer-cut'),
+        # After the first byte of an answer it is not a stale connection.
+        pytest.param('read', truncates_answer, 'unknown', 2, id='answer-cut'),
     ],
 )
-async def test_kept_connection_closed_between_two_calls(
+async def test_keep_alive_connection_closed_between_two_calls(
     service: str,
     last: Callable[[asyncio.StreamWriter], None],
-    word: str,
+    outcome: str,
     requests: int,
 ) -> None:
-    async with path(answers_then(last), service) as (node, target, caller):
+    async with node_with_target(answers_once_then(last), service) as (
+        node,
+        target,
+        caller,
+    ):
         assert (await caller.ask(service, 'POST', '/', b'1')).body == b'ok'
         reply = await caller.ask(service, 'POST', '/', b'2')
-        assert reply.word == word
+        assert reply.word == outcome
         assert len(target.requests) == requests
 
 
 @pytest.mark.parametrize('service', ['read', 'write'])
-async def test_target_that_ends_on_a_kept_connection(service: str) -> None:
-    """The target answers one call and dies under the next.
+async def test_target_exits_on_a_keep_alive_connection(service: str) -> None:
+    """The target answers one call and exits during the next.
 
-    The new connection for the idempotent resend is refused, which alone
-    would read as "nothing was sent"; the first sending may have run.
+    The idempotent retry's new connection is refused, which on its own would
+    mean that nothing ran; but the first attempt may have run.
     """
-    held: list[asyncio.Server] = []
+    servers: list[asyncio.Server] = []
 
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -301,11 +321,11 @@
         await state.read_request(reader)
         writer.write(OK)
         await state.read_request(reader)
-        held[0].close()
+        servers[0].close()
         writer.transport.abort()
 
-    held.append(await asyncio.start_server(script, '127.0.0.1', 0))
-    port = held[0].sockets[0].getsockname()[1]
+    servers.append(await asyncio.start_server(script, '127.0.0.1', 0))
+    port = servers[0].sockets[0].getsockname()[1]
     async with (
         callpath.node('h1') as node,
         callpath.caller(node.port) as caller,
@@ -323,17 +343,17 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Answer, and close without having said so."""
+    """Answer and close without a ``Connection: close`` header."""
     await state.read_request(reader)
     writer.write(OK)
 
 
-async def says_too_much(
+async def answers_twice(
     state: callpath.Scripted,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Answer each request twice on one connection."""
+    """Send each answer twice."""
     while True:
         request = await state.read_request(reader)
         body = request[-1:]
@@ -341,53 +361,53 @@
         writer.write(head + body + head + body)
 
 
-@pytest.mark.parametrize('script', [closes_after_answer, says_too_much])
-async def test_connection_that_is_not_clean_is_not_used_again(
+@pytest.mark.parametrize('script', [closes_after_answer, answers_twice])
+async def test_dirty_connection_is_not_reused(
     script: Script,
 ) -> None:
-    """A target closes early, or answers twice.
+    """A target closes the connection after an answer, or answers twice.
 
-    The next caller's request would be lost with the connection, or that
-    caller would be given the answer to somebody else's request.
+    If the connection were reused, the next request would be lost or get the
+    answer to another request.
     """
-    async with path(script, 'write') as (node, target, caller):
+    async with node_with_target(script, 'write') as (node, target, caller):
         for body in b'123':
             reply = await caller.ask('write', 'POST', '/', bytes([body]))
             assert reply.status == 200
-            if script is says_too_much:
+            if script is answers_twice:
                 assert reply.body == bytes([body])
-            kept = node.guard.pool.idle.get(target.port) or ()
-            # The close, and the second answer, arrive a moment later.
+            idle = node.guard.pool.idle.get(target.port) or ()
+            # The close and the second answer arrive after the first answer.
             await conditions.until(
                 lambda: (
-                    not any(connections._is_clean(one.stream) for one in kept)
+                    not any(connections._is_clean(one.stream) for one in idle)
                 ),
-                'it shows',
+                'the connection is known to be dirty',
             )
         assert target.accepted == 3
 
 
 @pytest.mark.parametrize(
-    ('slots', 'bound', 'most'),
+    ('slots', 'max_connections', 'expected_max'),
     [
         pytest.param(8, 40, 8, id='slots-bound'),
         pytest.param(8, 3, 3, id='connections-bound'),
     ],
 )
-async def test_announced_bounds_hold_at_the_target(
-    slots: int, bound: int, most: int
+async def test_announced_limits_hold_at_the_target(
+    slots: int, max_connections: int, expected_max: int
 ) -> None:
     open_now = 0
-    highest = 0
+    max_open = 0
 
     async def script(
         state: callpath.Scripted,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        nonlocal open_now, highest
+        nonlocal open_now, max_open
         open_now += 1
-        highest = max(highest, open_now)
+        max_open = max(max_open, open_now)
         try:
             while True:
                 await state.read_request(reader)
@@ -400,32 +420,37 @@
         callpath.node('h1') as node,
         callpath.scripted(script) as target,
     ):
-        node.announce('write', target.port, slots=slots, connections=bound)
+        node.announce(
+            'write', target.port, slots=slots, connections=max_connections
+        )
 
-        async def one() -> str:
+        async def call() -> str:
             async with callpath.caller(node.port) as caller:
                 return (await caller.ask('write', 'POST', '/', b'x')).word
 
-        words = await asyncio.gather(*(one() for _ in range(50)))
-        assert set(words) == {'answered'}
-        assert highest <= most
-        assert node.counts.totals['connection.opened'] <= most
+        outcomes = await asyncio.gather(*(call() for _ in range(50)))
+        assert set(outcomes) == {'answered'}
+        assert max_open <= expected_max
+        assert node.counts.totals['connection.opened'] <= expected_max
 
 
-async def test_draining_target_gets_no_new_work() -> None:
-    async with path(sends(OK), 'write') as (node, target, caller):
+async def test_draining_target_gets_no_new_calls() -> None:
+    async with node_with_target(sends_bytes(OK), 'write') as (
+        node,
+        target,
+        caller,
+    ):
         node.announce('write', target.port, state=members.TargetState.DRAINING)
         reply = await caller.ask('write', 'POST', '/', b'x')
         assert reply.word == 'not-run'
         assert target.requests == []
 
 
-async def test_busy_threads_do_not_make_a_listening_target_look_gone() -> None:
-    """A target listens, and its first request is refused all the same.
+async def test_busy_thread_pool_does_not_withdraw_a_listening_target() -> None:
+    """A busy thread pool delays the name lookup for over a second.
 
-    The machine was busy, so a thread that looked up the loopback address
-    got no turn for a second.  The connection counted as refused, and the
-    target was withdrawn for every caller.
+    If the loopback address were looked up in the thread pool, connecting
+    would time out, and the target would be withdrawn for every caller.
     """
     loop = asyncio.get_running_loop()
     release = threading.Event()
@@ -433,20 +458,24 @@
     loop.set_default_executor(threads)
     threads.submit(release.wait)
     try:
-        async with path(sends(OK), 'read') as (node, _, caller):
+        async with node_with_target(sends_bytes(OK), 'read') as (
+            node,
+            _,
+            caller,
+        ):
             answer = await caller.ask('read')
         assert answer.status == 200
     finally:
         release.set()
 
 
-async def test_stall_while_connecting_does_not_make_a_target_look_gone(
+async def test_stall_while_connecting_is_not_a_connect_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process stands still while a connection opens, past its limit.
+    """The process stalls while connecting, for longer than the timeout.
 
-    The kernel has accepted the connection meanwhile.  When the process
-    runs again, the timer is due as well, and must not win.
+    The kernel completes the connection meanwhile.  When the process
+    resumes, the expired timer must not make the connect fail.
     """
     monkeypatch.setattr(connections, 'CONNECT_S', 1e-6)
     pool = connections.ConnectionPool(counters.Counters())
@@ -454,43 +483,44 @@
         port = listening.getsockname()[1]
         opening = asyncio.ensure_future(pool._connect(port))
         await asyncio.sleep(0)
-        # Stands still until the kernel has accepted.
+        # Blocks the event loop until the connection is accepted.
         accepted, _ = listening.accept()
         stream = await opening
         stream.close()
         accepted.close()
 
 
-async def test_a_target_that_is_just_ending_is_seen_to_end() -> None:
-    """A request crashes every target though crashes are remembered.
+async def test_exiting_target_counts_as_refusing() -> None:
+    """A crashing process closes its connections before its listening socket.
 
-    A process that ends closes its connections before the socket on which it
-    listens.  Asked between the two whether it still listens, the kernel
-    says yes, the crash is taken for a lost answer, and the same request is
-    sent to the next target.
+    A probe between the two still connects.  If that counted as listening,
+    the crash would be taken for a lost answer, and the request that caused
+    it would be retried at and crash the next target.
     """
     pool = connections.ConnectionPool(counters.Counters())
     listening = socket.create_server(('127.0.0.1', 0))
     listening.setblocking(False)
     port = listening.getsockname()[1]
-    asked = asyncio.ensure_future(pool.refuses(port))
+    probe = asyncio.ensure_future(pool.refuses(port))
     connected = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_reader(listening, connected.set)
     await connected.wait()
     loop.remove_reader(listening)
     listening.close()
-    assert await asked
+    assert await probe
 
 
-async def test_a_target_that_goes_on_listening_does_not_refuse() -> None:
+async def test_listening_target_does_not_count_as_refusing() -> None:
     pool = connections.ConnectionPool(counters.Counters())
     with socket.create_server(('127.0.0.1', 0)) as listening:
         assert not await pool.refuses(listening.getsockname()[1])
 
 
-async def test_a_target_that_resets_what_is_too_much_does_not_refuse() -> None:
-    """A target is full of connections and resets the next; it still runs."""
+async def test_reset_of_excess_connections_does_not_count_as_refusing() -> (
+    None
+):
+    """A target at its connection limit resets new ones but still runs."""
     pool = connections.ConnectionPool(counters.Counters())
     listening = socket.create_server(('127.0.0.1', 0))
     listening.setblocking(False)
@@ -505,7 +535,7 @@
     listening.close()
 
 
-async def test_a_name_is_looked_up_and_a_closed_port_refuses() -> None:
+async def test_host_name_is_resolved_and_a_closed_port_refuses() -> None:
     with socket.create_server(('127.0.0.1', 0)) as listening:
         port = listening.getsockname()[1]
         stream = await dialling.open_stream('localhost', port, 5.0)
