--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,7 +1,8 @@
-"""One caller process for benchmarks: a fixed number of calls in flight.
+"""Closed-loop load generator for one process of a benchmark.
 
-At saturation an open loop would only measure its own queue; here each of
-`--connections` callers sends its next call when it has its answer.
+Each of `--connections` callers sends its next call after the response to
+the previous one.  At saturation an open loop would measure only its own
+queue.
 """
 
 import asyncio
@@ -12,38 +13,38 @@
 from peridotpost.load import client
 from peridotpost.load import histogram
 
-REPORTED = (0.5, 0.99)
+REPORTED_QUANTILES = (0.5, 0.99)
 
 
-async def call_for(
-    one: client.Client,
+async def measure_calls(
+    http_client: client.Client,
     request: client.Request,
     connections: int,
     seconds: float,
 ) -> dict[str, float]:
-    """Send calls for `seconds`; return their count and quantiles."""
+    """Send calls for `seconds`; return their count and latency quantiles."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + seconds
-    times = histogram.Histogram()
+    end_time = loop.time() + seconds
+    latencies = histogram.Histogram()
     failed = 0
 
-    async def caller() -> None:
+    async def run_caller() -> None:
         nonlocal failed
-        while (began := loop.time()) < until:
-            received = await one.send(request)
-            times.add(loop.time() - began)
-            failed += received.status != 200
+        while (started_at := loop.time()) < end_time:
+            response = await http_client.send(request)
+            latencies.add(loop.time() - started_at)
+            failed += response.status != 200
 
-    began = loop.time()
-    await asyncio.gather(*(caller() for _ in range(connections)))
-    spent = loop.time() - began
-    one.close()
+    started_at = loop.time()
+    await asyncio.gather(*(run_caller() for _ in range(connections)))
+    elapsed_s = loop.time() - started_at
+    http_client.close()
     return {
-        'calls': times.count,
+        'calls': latencies.count,
         'failed': failed,
-        'calls_per_s': times.count / spent,
-        'p50_ms': times.quantile(0.5) * 1000,
-        'p99_ms': times.quantile(0.99) * 1000,
+        'calls_per_s': latencies.count / elapsed_s,
+        'p50_ms': latencies.quantile(0.5) * 1000,
+        'p99_ms': latencies.quantile(0.99) * 1000,
     }
 
 
@@ -56,11 +57,13 @@
 def main(
     port: int, service: str, method: str, connections: int, seconds: float
 ) -> None:
-    """Send calls and print one line of JSON."""
+    """Send calls and print the result as one line of JSON."""
     request = client.Request(method, '/bonds/17', (('Host', service),))
-    one = client.Client('127.0.0.1', port)
-    found = asyncio.run(call_for(one, request, connections, seconds))
-    click.echo(json.dumps(found))
+    http_client = client.Client('127.0.0.1', port)
+    result = asyncio.run(
+        measure_calls(http_client, request, connections, seconds)
+    )
+    click.echo(json.dumps(result))
 
 
 if __name__ == '__main__':
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Measures, in one process, what a daemon does at the size designed for.
+"""Measures a daemon's operations at design capacity, in one process.
 
-Times are processor time of this process, the lowest of several runs: what
-the work itself costs, not how busy the machine is.
+Times are the CPU time of this process, the minimum of several runs, so
+that they are independent of the load of the machine.
 """
 
 import base64
@@ -15,11 +15,11 @@
 
 import click
 
-from bench import figures
+from bench import documents
 from bench import fleets
 from bench import jsonout
-from bench import texts
-from peridotpost.border import text as text_border
+from bench import stats
+from peridotpost.border import text as document_border
 from peridotpost.decisions import fleet as fleet_rules
 from peridotpost.decisions import seeds as seed_rules
 from peridotpost.decisions import tree
@@ -38,36 +38,38 @@
 from testing import fleets as nodes
 
 REPEATS = 7
-LEAF = config.Interest(ingress=True)
+LEAF_INTEREST = config.Interest(ingress=True)
 
 
-def cpu_ms(work: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Return the lowest processor time of `work`, in milliseconds."""
+def min_cpu_ms(
+    operation: Callable[[], object], repeats: int = REPEATS
+) -> float:
+    """Return the minimum CPU time of `operation`, in milliseconds."""
     best = float('inf')
     for _ in range(repeats):
-        began = time.process_time()
-        work()
-        best = min(best, time.process_time() - began)
+        started_at = time.process_time()
+        operation()
+        best = min(best, time.process_time() - started_at)
     return round(best * 1000, 4)
 
 
-def sizes() -> dict[str, Any]:
-    """Return the bytes of each message about configuration."""
-    base = fleets.version()
-    text = texts.mesh_text(fleets.SERVICES, fleets.ZONES)
+def message_sizes() -> dict[str, Any]:
+    """Return the size in bytes of each configuration message."""
+    base = fleets.make_version()
+    document = documents.generate_document(fleets.SERVICES, fleets.ZONES)
     hosted = frozenset({sorted(base.services)[7]})
     scopes = {
         'relay': config.EVERYTHING,
         'ingress leaf': config.Interest(ingress=True, hosted=hosted),
         'leaf without ingress': config.Interest(hosted=hosted),
     }
-    shown: dict[str, Any] = {
-        'text': len(text.encode()),
-        'stored_value': len(_stored(text)),
+    result: dict[str, Any] = {
+        'text': len(document.encode()),
+        'stored_value': len(_encode_stored_value(document)),
     }
     for name, interest in scopes.items():
         held = base.scoped(interest)
-        whole = version_rules.difference(
+        full_update = version_rules.difference(
             config.NO_CONFIG, version_rules.Holding(held, interest)
         )
         deltas = []
@@ -77,119 +79,136 @@
                 held, version_rules.Holding(after, interest)
             )
             deltas.append(wire.update_to_wire(update).ByteSize())
-        shown[name] = {
+        result[name] = {
             'services': len(held.services),
-            'whole': wire.update_to_wire(whole).ByteSize(),
-            'delta_p50': figures.quantile(deltas, 0.5),
+            'whole': wire.update_to_wire(full_update).ByteSize(),
+            'delta_p50': stats.quantile(deltas, 0.5),
             'delta_max': max(deltas),
         }
-    return shown
+    return result
 
 
-def _stored(text: str) -> bytes:
+def _encode_stored_value(document: str) -> bytes:
     return versions.to_value(
-        versions.Accepted(1, 1, '0' * 32, 'bench', '', 0.0, 0, text)
+        versions.Accepted(1, 1, '0' * 32, 'bench', '', 0.0, 0, document)
     )
 
 
 def fleet_costs(hosts: int) -> dict[str, Any]:
-    """Return processor times and bytes that grow with the fleet."""
-    records = list(fleets.records(hosts))
-    node = fleets.full_node(records[0].host, config.EVERYTHING, hosts)
-    one = node.replica
-    leaf = fleets.full_node(records[0].host, LEAF, hosts).replica
-    everyone = control_pb2.Facts(
-        members=[wire.member_to_wire(found) for found in records]
+    """Return CPU times and message sizes that grow with the fleet."""
+    records = list(fleets.member_records(hosts))
+    node = fleets.make_full_node(records[0].host, config.EVERYTHING, hosts)
+    replica = node.replica
+    leaf = fleets.make_full_node(records[0].host, LEAF_INTEREST, hosts).replica
+    all_members = control_pb2.Facts(
+        members=[wire.member_to_wire(record) for record in records]
     )
-    zone_hosts = one.fleet.live_hosts('zone-00')
-    picker = reconcile.Reconciler(one, one.counts, 'zone-00', random.Random(1))
-    sums = list(one.fleet.sums)
+    zone_hosts = replica.fleet.live_hosts('zone-00')
+    reconciler = reconcile.Reconciler(
+        replica, replica.counts, 'zone-00', random.Random(1)
+    )
+    sums = list(replica.fleet.sums)
     bucket = frozenset({0})
-    marks = wire.bucket_marks(bucket, one.fleet.marks(bucket))
-    taken = links.Link('child', node.table, node.counts)
+    marks = wire.bucket_marks(bucket, replica.fleet.marks(bucket))
+    link = links.Link('child', node.table, node.counts)
     return {
         'hosts': hosts,
         'zone_hosts': len(zone_hosts),
         'bytes': {
             'member_record': wire.member_to_wire(records[0]).ByteSize(),
-            'all_member_records': everyone.ByteSize(),
-            'hello': links.greeting(taken).ByteSize(),
-            'digest': _digest(one).ByteSize(),
+            'all_member_records': all_members.ByteSize(),
+            'hello': links.greeting(link).ByteSize(),
+            'digest': _make_digest(replica).ByteSize(),
             'marks_of_one_bucket': marks.ByteSize(),
         },
         'memory_mib': _fleet_memory(hosts),
         'cpu_ms': {
-            'compile_table_relay': cpu_ms(lambda: _compile(one)),
-            'compile_table_leaf': cpu_ms(lambda: _compile(leaf)),
-            'table_after_one_member': cpu_ms(lambda: _recompile(one)),
-            'plan_as_relay': cpu_ms(lambda: _plan(one, True)),
-            'plan_as_leaf': cpu_ms(lambda: _plan(one, False)),
-            'seeds_due': cpu_ms(lambda: _seeds_due(one)),
-            'merge_one_record': cpu_ms(lambda: _merge(one, records[1])),
-            'write_digest': cpu_ms(lambda: _digest(one).SerializeToString()),
-            'compare_sums': cpu_ms(lambda: one.fleet.differing(sums)),
-            'marks_of_one_bucket': cpu_ms(lambda: one.fleet.marks(bucket)),
-            'probe_candidates': cpu_ms(
-                lambda: one.fleet.live_hosts('zone-00')
+            'compile_table_relay': min_cpu_ms(lambda: _compile_table(replica)),
+            'compile_table_leaf': min_cpu_ms(lambda: _compile_table(leaf)),
+            'table_after_one_member': min_cpu_ms(
+                lambda: _update_table(replica)
+            ),
+            'plan_as_relay': min_cpu_ms(
+                lambda: _compute_tree_position(replica, True)
+            ),
+            'plan_as_leaf': min_cpu_ms(
+                lambda: _compute_tree_position(replica, False)
+            ),
+            'seeds_due': min_cpu_ms(lambda: _select_seed_hosts(replica)),
+            'merge_one_record': min_cpu_ms(
+                lambda: _merge_record(replica, records[1])
             ),
-            'pick_reconciliation': cpu_ms(picker.pick),
-            'read_all_records': cpu_ms(
+            'write_digest': min_cpu_ms(
+                lambda: _make_digest(replica).SerializeToString()
+            ),
+            'compare_sums': min_cpu_ms(lambda: replica.fleet.differing(sums)),
+            'marks_of_one_bucket': min_cpu_ms(
+                lambda: replica.fleet.marks(bucket)
+            ),
+            'probe_candidates': min_cpu_ms(
+                lambda: replica.fleet.live_hosts('zone-00')
+            ),
+            'pick_reconciliation': min_cpu_ms(reconciler.pick),
+            'read_all_records': min_cpu_ms(
                 lambda: [
-                    wire.member_from_wire(found) for found in everyone.members
+                    wire.member_from_wire(record)
+                    for record in all_members.members
                 ]
             ),
         },
     }
 
 
-def _digest(one: replicas.Replica) -> control_pb2.Digest:
+def _make_digest(replica: replicas.Replica) -> control_pb2.Digest:
     return control_pb2.Digest(
-        host=one.host,
-        revision=one.version.revision,
-        config_digest=one.digest,
-        interest=wire.interest_to_wire(one.interest),
-        member_sums=one.fleet.sums,
+        host=replica.host,
+        revision=replica.version.revision,
+        config_digest=replica.digest,
+        interest=wire.interest_to_wire(replica.interest),
+        member_sums=replica.fleet.sums,
     )
 
 
-def _compile(one: replicas.Replica) -> None:
-    routing.compile_table(one.version, one.fleet.live())
+def _compile_table(replica: replicas.Replica) -> None:
+    routing.compile_table(replica.version, replica.fleet.live())
 
 
-def _recompile(one: replicas.Replica) -> None:
-    """Do what the first call after a member's change waits for."""
-    record = next(iter(one.fleet.records.values()))
-    one.tables.member_changed(record, record)
-    one.tables.current(one.version)
+def _update_table(replica: replicas.Replica) -> None:
+    """Update the table as the first call after a member change does."""
+    record = next(iter(replica.fleet.records.values()))
+    replica.tables.member_changed(record, record)
+    replica.tables.current(replica.version)
 
 
-def _seeds_due(one: replicas.Replica) -> None:
-    """Do what each daemon does to know whether it keeps a seed record."""
-    hosts = one.fleet.live_hosts('zone-00')
+def _select_seed_hosts(replica: replicas.Replica) -> None:
+    """Select the hosts that keep a seed record, as each daemon does."""
+    hosts = replica.fleet.live_hosts('zone-00')
     tree.seed_hosts('zone-00', hosts, seed_rules.SEEDS_PER_ZONE)
 
 
-def _plan(one: replicas.Replica, relay: bool) -> None:
-    """Do what a daemon's plan does after a change of the fleet."""
-    hosts = one.fleet.live_hosts('zone-00')
-    tree.place_of(one.host, 'zone-00', hosts)
-    if not relay:
+def _compute_tree_position(replica: replicas.Replica, is_relay: bool) -> None:
+    """Recompute the tree position, as a daemon does on a fleet change."""
+    hosts = replica.fleet.live_hosts('zone-00')
+    tree.place_of(replica.host, 'zone-00', hosts)
+    if not is_relay:
         return
-    for zone in one.fleet.zones():
-        tree.relays_of(zone, one.fleet.live_hosts(zone))
+    for zone in replica.fleet.zones():
+        tree.relays_of(zone, replica.fleet.live_hosts(zone))
 
 
-def _merge(one: replicas.Replica, record: members.MemberRecord) -> None:
-    one.fleet.merge(record, 0.0)
+def _merge_record(
+    replica: replicas.Replica, record: members.MemberRecord
+) -> None:
+    replica.fleet.merge(record, 0.0)
 
 
 def _fleet_memory(hosts: int) -> float:
-    """Return the MiB that a fleet's records and its table take."""
-    base = fleets.version()
+    """Return the MiB used by a fleet's records and its routing table."""
+    base = fleets.make_version()
     tracemalloc.start()
     fleet = fleet_rules.Fleet()
-    for record in fleets.records(hosts):
-        # As decoded from a message: no string is shared between records.
+    for record in fleets.member_records(hosts):
+        # Records decoded from messages do not share strings.
         decoded = wire.member_from_wire(
             control_pb2.Member.FromString(
                 wire.member_to_wire(record).SerializeToString()
@@ -204,49 +223,49 @@
 
 
 def join_costs(hosts: int) -> dict[str, Any]:
-    """Return processor time and bytes of a fresh daemon's join.
+    """Return the CPU time and bytes of the join of a new daemon.
 
-    And of its joining again, when it lacks nothing.
+    The join is measured a second time, when the daemon is up to date.
     """
-    parent = fleets.full_node('parent', config.EVERYTHING, hosts)
-    child = nodes.Node('child', LEAF)
-    shown = {'fresh': _exchange(nodes.Pipe(child, parent))}
+    parent = fleets.make_full_node('parent', config.EVERYTHING, hosts)
+    child = nodes.Node('child', LEAF_INTEREST)
+    result = {'fresh': _exchange_frames(nodes.Pipe(child, parent))}
     assert len(child.replica.fleet.records) == hosts
-    shown['again'] = _exchange(nodes.Pipe(child, parent))
-    return shown
+    result['again'] = _exchange_frames(nodes.Pipe(child, parent))
+    return result
 
 
-def _exchange(pipe: nodes.Pipe) -> dict[str, float]:
-    """Exchange frames until nobody owes any; share the time by side."""
-    spent = [0.0, 0.0]
+def _exchange_frames(pipe: nodes.Pipe) -> dict[str, float]:
+    """Exchange frames until none is pending; return the CPU time by side."""
+    cpu_s = [0.0, 0.0]
     messages = 0
-    quiet = False
-    while not quiet:
-        quiet = True
+    is_idle = False
+    while not is_idle:
+        is_idle = True
         for side in (0, 1):
-            began = time.process_time()
+            started_at = time.process_time()
             pipe.send(side)
-            spent[side] += time.process_time() - began
-            began = time.process_time()
+            cpu_s[side] += time.process_time() - started_at
+            started_at = time.process_time()
             while pipe.deliver(side) is not None:
                 messages += 1
-                quiet = False
-            spent[1 - side] += time.process_time() - began
+                is_idle = False
+            cpu_s[1 - side] += time.process_time() - started_at
     pipe.close()
     return {
         'messages': messages,
         'bytes': pipe.bytes_sent,
-        'child_cpu_ms': round(spent[0] * 1000, 2),
-        'parent_cpu_ms': round(spent[1] * 1000, 2),
+        'child_cpu_ms': round(cpu_s[0] * 1000, 2),
+        'parent_cpu_ms': round(cpu_s[1] * 1000, 2),
     }
 
 
 def store_costs() -> dict[str, int]:
-    """Return the bytes of one read of all bootstrap records."""
+    """Return the size in bytes of one read of all bootstrap records."""
     count = fleets.ZONES * seed_rules.SEEDS_PER_ZONE
     platform = platform_standin.Platform()
     prefix = seeds.seeds_prefix('measured')
-    for record in fleets.records(count):
+    for record in fleets.member_records(count):
         value = json.dumps(
             {
                 'host': record.host,
@@ -258,12 +277,12 @@
         platform.state.put(
             key.encode(), value.encode(), 0, platform.state.revision + 1
         )
-    answer = platform.answer(
+    response = platform.answer(
         'kv/range',
         {'key': _base64(prefix), 'range_end': _base64(prefix[:-1] + '0')},
     )
-    assert int(answer['count']) == count
-    return {'records': count, 'read_bytes': len(json.dumps(answer))}
+    assert int(response['count']) == count
+    return {'records': count, 'read_bytes': len(json.dumps(response))}
 
 
 def _base64(key: str) -> str:
@@ -271,38 +290,43 @@
 
 
 def version_costs() -> dict[str, float]:
-    """Return processor times of one accepted version, in ms."""
-    text = texts.mesh_text(fleets.SERVICES, fleets.ZONES)
-    base = fleets.version()
+    """Return the CPU times of processing an accepted version, in ms."""
+    document = documents.generate_document(fleets.SERVICES, fleets.ZONES)
+    base = fleets.make_version()
     after = fleets.changed_version(base, 7)
-    accepted = versions.Accepted(1, 1, '0' * 32, 'b', '', 0.0, 0, text)
-    held = base.scoped(LEAF)
-    holding = version_rules.Holding(held, LEAF)
-    later = version_rules.Holding(after.scoped(LEAF), LEAF)
-    update = version_rules.difference(held, later)
-    bodies = fleets.version()
+    accepted = versions.Accepted(1, 1, '0' * 32, 'b', '', 0.0, 0, document)
+    held = base.scoped(LEAF_INTEREST)
+    holding = version_rules.Holding(held, LEAF_INTEREST)
+    new_holding = version_rules.Holding(
+        after.scoped(LEAF_INTEREST), LEAF_INTEREST
+    )
+    update = version_rules.difference(held, new_holding)
+    uncached_version = fleets.make_version()
     return {
-        'relay_read_text': cpu_ms(
-            lambda: text_border.read_text(text, 'text'), 3
+        'relay_read_text': min_cpu_ms(
+            lambda: document_border.read_text(document, 'text'), 3
         ),
-        'relay_compile_version': cpu_ms(
+        'relay_compile_version': min_cpu_ms(
             lambda: versions.compile_version(accepted), 3
         ),
-        'encode_and_hash_bodies': cpu_ms(
-            lambda: _rehash(bodies.services.values())
+        'encode_and_hash_bodies': min_cpu_ms(
+            lambda: _recompute_digest(uncached_version.services.values())
         ),
-        'scope_and_difference': cpu_ms(
+        'scope_and_difference': min_cpu_ms(
             lambda: version_rules.difference(
-                held, version_rules.Holding(after.scoped(LEAF), LEAF)
+                held,
+                version_rules.Holding(
+                    after.scoped(LEAF_INTEREST), LEAF_INTEREST
+                ),
             )
         ),
-        'leaf_judge': cpu_ms(
-            lambda: version_rules.judge(holding, LEAF, update)
+        'leaf_judge': min_cpu_ms(
+            lambda: version_rules.judge(holding, LEAF_INTEREST, update)
         ),
     }
 
 
-def _rehash(specs: Any) -> None:
+def _recompute_digest(specs: Any) -> None:
     services = {}
     for spec in specs:
         spec.__dict__.pop('body', None)
@@ -312,8 +336,8 @@
 
 def measure() -> dict[str, Any]:
     return {
-        'circumstances': figures.circumstances(),
-        'config_bytes': sizes(),
+        'circumstances': stats.describe_environment(),
+        'config_bytes': message_sizes(),
         'version_cpu_ms': version_costs(),
         'bootstrap_read': store_costs(),
         'join': join_costs(fleets.HOSTS),
@@ -327,8 +351,8 @@
 )
 @click.option('--output', type=click.Path(path_type=pathlib.Path))
 def main(output: pathlib.Path | None) -> None:
-    """Measure at 5,200 members and 150 services; write JSON."""
-    jsonout.tell(measure(), output)
+    """Measure with 5,200 members and 150 services; write JSON."""
+    jsonout.write_result(measure(), output)
 
 
 if __name__ == '__main__':
--- a/bench/convergence.py
+++ b/bench/convergence.py
@@ -1,7 +1,7 @@
-"""Measures how long a change takes to be in force everywhere, and its cost.
+"""Measures how long a change takes to reach every daemon, and its cost.
 
-Times come from the daemons' own time lines, by the one clock of the
-machine; bytes, processor time and memory from their admin pages.
+Times come from the daemons' timelines, which share the machine's clock;
+bytes, CPU time and memory come from their admin endpoints.
 """
 
 import asyncio
@@ -14,28 +14,28 @@
 
 import click
 
-from bench import figures
+from bench import documents
 from bench import jsonout
 from bench import meshes
 from bench import observed
-from bench import texts
+from bench import stats
 from peridotpost.standins import mesh
 
-SENT = ('link.sent-bytes', 'probe.sent-bytes', 'reconcile.sent-bytes')
-RECEIVED = (
+SENT_COUNTERS = ('link.sent-bytes', 'probe.sent-bytes', 'reconcile.sent-bytes')
+RECEIVED_COUNTERS = (
     'link.received-bytes',
     'probe.received-bytes',
     'reconcile.received-bytes',
 )
 SETTLE_S = 2.0
 COLLECT_ATTEMPTS = 10
-TEXT_PERIOD_S = 2.0
+DOCUMENT_PERIOD_S = 2.0
 TARGET_PERIOD_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """What every daemon's pages said at one moment."""
+    """Counters and status of every daemon at one time."""
 
     at: float
     totals: dict[str, dict[str, int]]
@@ -43,9 +43,9 @@
     store: dict[str, int]
 
 
-async def sample(bench: meshes.Bench) -> Sample:
-    counters = await bench.pages('/v1/counters')
-    status = await bench.pages('/v1/status')
+async def take_sample(bench: meshes.BenchMesh) -> Sample:
+    counters = await bench.fetch_pages('/v1/counters')
+    status = await bench.fetch_pages('/v1/status')
     return Sample(
         time.monotonic(),
         {host: page['totals'] for host, page in counters.items()},
@@ -60,131 +60,152 @@
     return 'parent' if status['children'] else 'leaf'
 
 
-def rates(before: Sample, after: Sample) -> dict[str, Any]:
-    """Return rates per daemon and second, by role, and of the store.
+def compute_rates(before: Sample, after: Sample) -> dict[str, Any]:
+    """Return rates per daemon and second by role, and the store's rates.
 
-    Only the asking side of a reconciliation counts its bytes.  Each is
-    asked as often as it asks, on the average, so the same bytes are added
-    once more, the other way round.
+    Only the initiator of a reconciliation counts its bytes.  On average a
+    daemon is the responder as often as the initiator, so the same bytes
+    are added again with the directions swapped.
     """
-    spent = after.at - before.at
+    elapsed_s = after.at - before.at
     rows: dict[str, list[dict[str, float]]] = {}
     for host, totals in after.totals.items():
-        old = before.totals[host]
-        grown = {name: n - old.get(name, 0) for name, n in totals.items()}
+        earlier = before.totals[host]
+        increases = {
+            name: n - earlier.get(name, 0) for name, n in totals.items()
+        }
         row = {
-            'sent': _total(grown, (*SENT, 'reconcile.received-bytes')) / spent,
-            'received': _total(grown, (*RECEIVED, 'reconcile.sent-bytes'))
-            / spent,
+            'sent': _total(
+                increases, (*SENT_COUNTERS, 'reconcile.received-bytes')
+            )
+            / elapsed_s,
+            'received': _total(
+                increases, (*RECEIVED_COUNTERS, 'reconcile.sent-bytes')
+            )
+            / elapsed_s,
             'cpu': (after.status[host]['cpu_s'] - before.status[host]['cpu_s'])
-            / spent,
+            / elapsed_s,
         }
-        for name in (*SENT, *RECEIVED):
-            row[name] = grown.get(name, 0) / spent
+        for name in (*SENT_COUNTERS, *RECEIVED_COUNTERS):
+            row[name] = increases.get(name, 0) / elapsed_s
         for name in ('link.sent-messages', 'probe.sent-messages'):
-            row[name] = grown.get(name, 0) / spent
+            row[name] = increases.get(name, 0) / elapsed_s
         rows.setdefault(role_of(after.status[host]), []).append(row)
         rows.setdefault('all', []).append(row)
-    calls = {
-        name: (count - before.store.get(name, 0)) / spent
+    call_rates = {
+        name: (count - before.store.get(name, 0)) / elapsed_s
         for name, count in after.store.items()
         if name != 'watching'
     }
     return {
-        'seconds': spent,
-        'roles': {role: _summary(found) for role, found in rows.items()},
-        'store_calls_per_s': sum(calls.values()),
-        'store_calls': calls,
+        'seconds': elapsed_s,
+        'roles': {
+            role: _summarize(role_rows) for role, role_rows in rows.items()
+        },
+        'store_calls_per_s': sum(call_rates.values()),
+        'store_calls': call_rates,
         'watching': after.store.get('watching', 0),
     }
 
 
-def _total(grown: dict[str, int], names: tuple[str, ...]) -> int:
-    return sum(grown.get(name, 0) for name in names)
+def _total(increases: dict[str, int], names: tuple[str, ...]) -> int:
+    return sum(increases.get(name, 0) for name in names)
 
 
-def _summary(rows: list[dict[str, float]]) -> dict[str, Any]:
-    both = [row['sent'] + row['received'] for row in rows]
+def _summarize(rows: list[dict[str, float]]) -> dict[str, Any]:
+    byte_rates = [row['sent'] + row['received'] for row in rows]
     summary: dict[str, Any] = {
         name: sum(row[name] for row in rows) / len(rows) for name in rows[0]
     }
     summary['daemons'] = len(rows)
-    summary['bytes_mean'] = sum(both) / len(both)
-    summary['bytes_max'] = max(both)
+    summary['bytes_mean'] = sum(byte_rates) / len(byte_rates)
+    summary['bytes_max'] = max(byte_rates)
     summary['cpu_max'] = max(row['cpu'] for row in rows)
     return summary
 
 
-async def _collected(
-    bench: meshes.Bench, query: str, since: float, kind: str, detail: str
+async def _collect_delays(
+    bench: meshes.BenchMesh,
+    query: str,
+    changed_at: float,
+    kind: str,
+    detail: str,
 ) -> list[float]:
-    """Return the seconds from `since` to the event at each daemon."""
+    """Return the seconds from `changed_at` to each daemon's event."""
     for _ in range(COLLECT_ATTEMPTS):
         await asyncio.sleep(SETTLE_S)
-        pages = await bench.pages(f'/v1/timeline?{query}')
-        found = [
+        pages = await bench.fetch_pages(f'/v1/timeline?{query}')
+        event_delays = [
             min(
                 (
-                    event['at'] - since
+                    event['at'] - changed_at
                     for event in page['events']
                     if event['kind'] == kind
-                    and event['at'] >= since
+                    and event['at'] >= changed_at
                     and detail in event['detail']
                 ),
                 default=None,
             )
             for page in pages.values()
         ]
-        delays = [one for one in found if one is not None]
-        if len(delays) == len(found):
+        delays = [delay for delay in event_delays if delay is not None]
+        if len(delays) == len(event_delays):
             return delays
-    raise TimeoutError(f'{len(found) - len(delays)} daemons never had it')
+    raise TimeoutError(
+        f'{len(event_delays) - len(delays)} daemons did not record the event'
+    )
 
 
-async def text_change(bench: meshes.Bench, text: str) -> list[float]:
-    """Accept a text; return the seconds from then for each daemon."""
-    since = time.time()
-    revision = await bench.accept(text)
-    return await _collected(
-        bench, f'revision={revision}', since, 'config.in-force', ''
+async def measure_document_change(
+    bench: meshes.BenchMesh, document: str
+) -> list[float]:
+    """Accept a document; return the delay until each daemon applies it."""
+    changed_at = time.time()
+    revision = await bench.accept(document)
+    return await _collect_delays(
+        bench, f'revision={revision}', changed_at, 'config.in-force', ''
     )
 
 
-async def target_change(
-    bench: meshes.Bench, host: mesh.PlannedHost
+async def measure_target_change(
+    bench: meshes.BenchMesh, host: mesh.PlannedHost
 ) -> list[float]:
-    """Let a target drain; return the seconds until each table drops it."""
-    since = time.time()
-    bench.states[host.host] = 'draining'
+    """Drain a target; return the delay until each daemon removes it."""
+    changed_at = time.time()
+    bench.target_states[host.host] = 'draining'
     await bench.announce(host)
-    delays = await _collected(
+    delays = await _collect_delays(
         bench,
         f'request_id=member-{host.host}',
-        since,
+        changed_at,
         observed.MEMBER_EVENT,
         'draining',
     )
-    bench.states[host.host] = 'ready'
+    bench.target_states[host.host] = 'ready'
     await bench.announce(host)
     return delays
 
 
-async def churn(
-    bench: meshes.Bench, text: str, seconds: float, first: int
+async def run_churn(
+    bench: meshes.BenchMesh, document: str, seconds: float, first_number: int
 ) -> dict[str, int]:
-    """Change the text and targets at fixed rates for a while."""
-    randomness = random.Random(first)
+    """Change the document and targets at fixed rates for `seconds`."""
+    randomness = random.Random(first_number)
     counts = {'texts': 0, 'targets': 0}
-    began = time.monotonic()
-    while (spent := time.monotonic() - began) < seconds:
-        if spent >= counts['texts'] * TEXT_PERIOD_S:
+    started_at = time.monotonic()
+    while (elapsed_s := time.monotonic() - started_at) < seconds:
+        if elapsed_s >= counts['texts'] * DOCUMENT_PERIOD_S:
             counts['texts'] += 1
             await bench.accept(
-                texts.with_deadline(text, first + counts['texts'])
+                documents.with_deadline(
+                    document, first_number + counts['texts']
+                )
             )
         host = randomness.choice(bench.plan.hosts)
-        was = bench.states[host.host]
-        bench.states[host.host] = 'ready' if was == 'draining' else 'draining'
+        previous = bench.target_states[host.host]
+        bench.target_states[host.host] = (
+            'ready' if previous == 'draining' else 'draining'
+        )
         await bench.announce(host)
         counts['targets'] += 1
         await asyncio.sleep(TARGET_PERIOD_S)
@@ -198,31 +219,35 @@
     repetitions: int,
     seconds: float,
 ) -> dict[str, Any]:
-    """Run one size and return its figures."""
-    text = texts.mesh_text(services, zones)
-    circumstances = figures.circumstances()
+    """Run a mesh of one size and return its results."""
+    document = documents.generate_document(services, zones)
+    circumstances = stats.describe_environment()
     with tempfile.TemporaryDirectory(prefix='bench-') as name:
         directory = pathlib.Path(name)
-        async with meshes.running(text, directory, hosts_per_zone) as bench:
+        async with meshes.running(
+            document, directory, hosts_per_zone
+        ) as bench:
             click.echo(f'{len(bench.plan.hosts)} daemons joined', err=True)
-            await bench.accept(text)
+            await bench.accept(document)
             await asyncio.sleep(2 * SETTLE_S)
-            in_text: list[float] = []
-            in_target: list[float] = []
+            document_delays: list[float] = []
+            target_delays: list[float] = []
             for number in range(repetitions):
-                changed = texts.with_deadline(text, number)
-                in_text += await text_change(bench, changed)
+                changed = documents.with_deadline(document, number)
+                document_delays += await measure_document_change(
+                    bench, changed
+                )
                 host = bench.plan.hosts[(number * 7) % len(bench.plan.hosts)]
-                in_target += await target_change(bench, host)
+                target_delays += await measure_target_change(bench, host)
                 click.echo(f'repetition {number + 1} done', err=True)
-            before = await sample(bench)
+            before = await take_sample(bench)
             await asyncio.sleep(seconds)
-            idle = rates(before, await sample(bench))
+            idle = compute_rates(before, await take_sample(bench))
             click.echo('idle done', err=True)
-            before = await sample(bench)
-            changes = await churn(bench, text, seconds, 1000)
-            after = await sample(bench)
-            resident = [
+            before = await take_sample(bench)
+            changes = await run_churn(bench, document, seconds, 1000)
+            after = await take_sample(bench)
+            resident_mib = [
                 page['resident_kib'] / 1024 for page in after.status.values()
             ]
             return {
@@ -230,13 +255,15 @@
                 'zones': zones,
                 'services': services,
                 'circumstances': circumstances,
-                'load_1_min_at_end': figures.circumstances()['load_1_min'],
+                'load_1_min_at_end': stats.describe_environment()[
+                    'load_1_min'
+                ],
                 'repetitions': repetitions,
-                'text_s': dataclasses.asdict(figures.spread(in_text)),
-                'target_s': dataclasses.asdict(figures.spread(in_target)),
+                'text_s': dataclasses.asdict(stats.spread(document_delays)),
+                'target_s': dataclasses.asdict(stats.spread(target_delays)),
                 'idle': idle,
-                'churn': {'changes': changes, **rates(before, after)},
-                'resident_mib': dataclasses.asdict(figures.spread(resident)),
+                'churn': {'changes': changes, **compute_rates(before, after)},
+                'resident_mib': dataclasses.asdict(stats.spread(resident_mib)),
             }
 
 
@@ -249,7 +276,10 @@
 @click.option('--services', default=150, show_default=True)
 @click.option('--repetitions', default=10, show_default=True)
 @click.option(
-    '--seconds', default=30.0, show_default=True, help='Of idle and of churn.'
+    '--seconds',
+    default=30.0,
+    show_default=True,
+    help='Duration of the idle and of the churn phase.',
 )
 @click.option('--output', type=click.Path(path_type=pathlib.Path))
 def main(
@@ -260,11 +290,11 @@
     seconds: float,
     output: pathlib.Path | None,
 ) -> None:
-    """Measure one size of mesh; write JSON."""
-    found = asyncio.run(
+    """Measure a mesh of one size; write JSON."""
+    result = asyncio.run(
         measure(zones, hosts_per_zone, services, repetitions, seconds)
     )
-    jsonout.tell(found, output)
+    jsonout.write_result(result, output)
 
 
 if __name__ == '__main__':
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -1,9 +1,9 @@
-"""Builds fleets and replicas of the size designed for, in one process."""
+"""Builds in-process fleets and replicas of the design capacity."""
 
 from collections.abc import Iterator
 
-from bench import texts
-from peridotpost.border import text as text_border
+from bench import documents
+from peridotpost.border import text as document_border
 from peridotpost.model import config
 from peridotpost.model import members
 from testing import fleets as nodes
@@ -12,33 +12,35 @@
 SERVICES = 150
 ZONES = 11
 INCARNATION = 1_764_700_000_000
-"""Milliseconds since 1970, as daemons take it: its size on the wire is
-what counts."""
+"""In milliseconds since 1970, as in daemons, so that its encoded size is
+realistic."""
 
 
 def zone_names(zones: int) -> list[str]:
     return [f'zone-{number:02d}' for number in range(zones)]
 
 
-def version(
+def make_version(
     services: int = SERVICES, zones: int = ZONES, revision: int = 1
 ) -> config.ConfigVersion:
-    """Return the generated text as a version."""
-    mesh = text_border.read_text(texts.mesh_text(services, zones), 'bench')
-    return text_border.to_config(mesh, revision, f'{revision:032x}')
+    """Return a configuration version of a generated mesh document."""
+    mesh = document_border.read_text(
+        documents.generate_document(services, zones), 'bench'
+    )
+    return document_border.to_config(mesh, revision, f'{revision:032x}')
 
 
 def changed_version(
     base: config.ConfigVersion, number: int
 ) -> config.ConfigVersion:
-    """Return the next version: one service with another deadline."""
+    """Return the next version, in which one service's deadline differs."""
     names = sorted(base.services)
     name = names[number % len(names)]
-    old = base.services[name]
+    old_spec = base.services[name]
     spec = config.ServiceSpec(
         **{
-            **{field: getattr(old, field) for field in _spec_fields()},
-            'deadline_ms': old.deadline_ms + 1,
+            **{field: getattr(old_spec, field) for field in _spec_fields()},
+            'deadline_ms': old_spec.deadline_ms + 1,
         }
     )
     revision = base.revision + 1
@@ -54,11 +56,11 @@
     return list(config.ServiceSpec.__dataclass_fields__)
 
 
-def records(
+def member_records(
     hosts: int = HOSTS, zones: int = ZONES, services: int = SERVICES
 ) -> Iterator[members.MemberRecord]:
-    """Yield the records of a fleet, one target on each host."""
-    names = sorted(version(services, zones).services)
+    """Yield the member records of a fleet with one target per host."""
+    names = sorted(make_version(services, zones).services)
     for number in range(hosts):
         zone = f'zone-{number % zones:02d}'
         host = f'{zone}-{number // zones}'
@@ -84,11 +86,11 @@
         )
 
 
-def full_node(
+def make_full_node(
     host: str, interest: config.Interest, hosts: int = HOSTS
 ) -> nodes.Node:
-    """Return a node that holds the text and the whole fleet."""
-    one = nodes.Node(host, interest)
-    one.hold(version())
-    one.learn(records(hosts))
-    return one
+    """Return a node that holds the configuration and all member records."""
+    node = nodes.Node(host, interest)
+    node.hold(make_version())
+    node.learn(member_records(hosts))
+    return node
--- a/bench/framing.py
+++ b/bench/framing.py
@@ -1,10 +1,10 @@
-"""Measures what gRPC, HTTP/2 and TCP add to the counted payload bytes.
+"""Measures the overhead of gRPC, HTTP/2 and TCP over the payload bytes.
 
-Counters count protocol buffers.  Here the same exchanges go through a
-relay that counts the bytes of the TCP stream in each direction.  Headers
-of TCP and IP are added by estimate, since the kernel's segments are not
-seen: 52 bytes a segment (IPv4 with TCP timestamps), and an acknowledgement
-of the same size for each.
+The daemons' counters count only protocol buffers.  Here the same exchanges
+go through a TCP proxy that counts the bytes of the stream in each
+direction.  TCP and IP headers are estimated, since the proxy does not see
+the kernel's segments: 52 bytes per segment (IPv4 with TCP timestamps), and
+an acknowledgement of the same size for each.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 import click
 
-from bench import figures
 from bench import fleets
 from bench import jsonout
+from bench import stats
 from peridotpost.distribution import dialling
 from peridotpost.distribution import links
 from peridotpost.distribution import reconcile
@@ -41,58 +41,60 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Counted:
-    """Bytes and reads of the relayed stream, both directions together."""
+class TrafficCount:
+    """Bytes and reads of the proxied stream, summed over both directions."""
 
     stream_bytes: int = 0
     reads: int = 0
 
-    def estimate(self) -> int:
-        """Return the bytes with headers; each read is one segment."""
+    def estimate_wire_bytes(self) -> int:
+        """Return the bytes with headers, taking each read as one segment."""
         return self.stream_bytes + 2 * SEGMENT_HEADER_BYTES * self.reads
 
 
 @contextlib.asynccontextmanager
-async def counting(port: int, counted: Counted) -> AsyncIterator[int]:
-    """Relay connections to `port`, counting; yield the relay's port."""
+async def counting_proxy(
+    port: int, traffic: TrafficCount
+) -> AsyncIterator[int]:
+    """Proxy connections to `port` and count them; yield the proxy's port."""
 
     async def pump(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while data := await reader.read(65536):
-            counted.stream_bytes += len(data)
-            counted.reads += 1
+            traffic.stream_bytes += len(data)
+            traffic.reads += 1
             writer.write(data)
         writer.close()
 
-    async def take(
+    async def handle_connection(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        onward = await asyncio.open_connection('127.0.0.1', port)
+        upstream = await asyncio.open_connection('127.0.0.1', port)
         with contextlib.suppress(OSError):
             await asyncio.gather(
-                pump(reader, onward[1]), pump(onward[0], writer)
+                pump(reader, upstream[1]), pump(upstream[0], writer)
             )
 
-    listening = await asyncio.start_server(take, '127.0.0.1', 0)
+    listener = await asyncio.start_server(handle_connection, '127.0.0.1', 0)
     try:
-        yield listening.sockets[0].getsockname()[1]
+        yield listener.sockets[0].getsockname()[1]
     finally:
-        listening.close()
+        listener.close()
 
 
-def _difference(counted: Counted, before: Counted) -> Counted:
-    return Counted(
-        counted.stream_bytes - before.stream_bytes,
-        counted.reads - before.reads,
+def _subtract(after: TrafficCount, before: TrafficCount) -> TrafficCount:
+    return TrafficCount(
+        after.stream_bytes - before.stream_bytes,
+        after.reads - before.reads,
     )
 
 
-async def _stream(
-    parent: nodes.Node, port: int, counted: Counted
+async def _measure_stream(
+    parent: nodes.Node, port: int, traffic: TrafficCount
 ) -> dict[str, Any]:
-    """Hold one child's stream; send changes over it, then leave it idle."""
-    child = fleets.full_node('child', config.EVERYTHING, MEMBERS)
+    """Measure a child's stream during changes and then while idle."""
+    child = fleets.make_full_node('child', config.EVERYTHING, MEMBERS)
     child.replica.clock = timers.TimerService(random.Random(2))
     totals = child.counts.totals
     arrived = asyncio.Event()
@@ -105,83 +107,89 @@
         )
         await call.write(control_pb2.Frame(hello=links.greeting(link)))
         link.take(await call.read())
-        conversing = asyncio.ensure_future(
+        link_task = asyncio.ensure_future(
             streams.converse(link, call.read, call.write, closing)
         )
         await asyncio.sleep(0.5)
-        before, payload = dataclasses.replace(counted), _payload(totals)
+        before, payload = dataclasses.replace(traffic), _payload_bytes(totals)
         for number in range(CHANGES):
             arrived.clear()
             held = parent.replica.version
             parent.hold(fleets.changed_version(held, number))
             await arrived.wait()
-        changes = _difference(counted, before)
-        payload = _payload(totals) - payload
-        before, idle_payload = dataclasses.replace(counted), _payload(totals)
+        changes = _subtract(traffic, before)
+        payload = _payload_bytes(totals) - payload
+        before, idle_payload = (
+            dataclasses.replace(traffic),
+            _payload_bytes(totals),
+        )
         await asyncio.sleep(IDLE_S)
-        idle = _difference(counted, before)
-        idle_payload = _payload(totals) - idle_payload
+        idle = _subtract(traffic, before)
+        idle_payload = _payload_bytes(totals) - idle_payload
         closing.set()
-        await conversing
+        await link_task
     return {
         'changes': CHANGES,
         'payload_bytes_per_change': payload / CHANGES,
         'stream_bytes_per_change': changes.stream_bytes / CHANGES,
-        'with_headers_per_change': changes.estimate() / CHANGES,
+        'with_headers_per_change': changes.estimate_wire_bytes() / CHANGES,
         'idle_s': IDLE_S,
         'idle_payload_bytes_per_s': idle_payload / IDLE_S,
         'idle_stream_bytes_per_s': idle.stream_bytes / IDLE_S,
-        'idle_with_headers_per_s': idle.estimate() / IDLE_S,
+        'idle_with_headers_per_s': idle.estimate_wire_bytes() / IDLE_S,
     }
 
 
-def _payload(totals: collections.Counter[str]) -> int:
+def _payload_bytes(totals: collections.Counter[str]) -> int:
     return totals['link.sent-bytes'] + totals['link.received-bytes']
 
 
-async def _reconcile(
-    parent: nodes.Node, port: int, counted: Counted
+async def _measure_reconciliation(
+    parent: nodes.Node, port: int, traffic: TrafficCount
 ) -> dict[str, Any]:
-    asking = fleets.full_node('asking', config.EVERYTHING, MEMBERS)
-    asking.hold(parent.replica.version)
-    one = reconcile.Reconciler(
-        asking.replica, asking.counts, 'zone-00', random.Random(1)
+    node = fleets.make_full_node('asking', config.EVERYTHING, MEMBERS)
+    node.hold(parent.replica.version)
+    reconciler = reconcile.Reconciler(
+        node.replica, node.counts, 'zone-00', random.Random(1)
     )
-    before = dataclasses.replace(counted)
+    before = dataclasses.replace(traffic)
     for _ in range(RECONCILIATIONS):
-        assert await one.ask(f'127.0.0.1:{port}')
+        assert await reconciler.ask(f'127.0.0.1:{port}')
     await asyncio.sleep(0.5)
-    grown = _difference(counted, before)
-    totals = asking.counts.totals
+    difference = _subtract(traffic, before)
+    totals = node.counts.totals
     payload = (
         totals['reconcile.sent-bytes'] + totals['reconcile.received-bytes']
     )
     return {
         'members': MEMBERS,
         'payload_bytes_each': payload / RECONCILIATIONS,
-        'stream_bytes_each': grown.stream_bytes / RECONCILIATIONS,
-        'with_headers_each': grown.estimate() / RECONCILIATIONS,
+        'stream_bytes_each': difference.stream_bytes / RECONCILIATIONS,
+        'with_headers_each': difference.estimate_wire_bytes()
+        / RECONCILIATIONS,
     }
 
 
 async def measure() -> dict[str, Any]:
-    circumstances = figures.circumstances()
-    parent = fleets.full_node('parent', config.EVERYTHING, MEMBERS)
-    # The link beats by its timer service, which must be a running one.
+    circumstances = stats.describe_environment()
+    parent = fleets.make_full_node('parent', config.EVERYTHING, MEMBERS)
+    # The link sends heartbeats by this timer service, so it must run.
     parent.replica.clock = timers.TimerService(random.Random(1))
     servicer = server.ControlServicer(
         parent.replica, parent.table, parent.counts
     )
-    counted = Counted()
+    traffic = TrafficCount()
     async with (
-        server.serving(servicer, '127.0.0.1', 0) as bound,
-        counting(bound, counted) as port,
+        server.serving(servicer, '127.0.0.1', 0) as server_port,
+        counting_proxy(server_port, traffic) as port,
     ):
         return {
             'circumstances': circumstances,
             'udp_header_bytes': DATAGRAM_HEADER_BYTES,
-            'stream': await _stream(parent, port, counted),
-            'reconciliation': await _reconcile(parent, port, counted),
+            'stream': await _measure_stream(parent, port, traffic),
+            'reconciliation': await _measure_reconciliation(
+                parent, port, traffic
+            ),
         }
 
 
@@ -191,8 +199,8 @@
 )
 @click.option('--output', type=click.Path(path_type=pathlib.Path))
 def main(output: pathlib.Path | None) -> None:
-    """Measure the overhead of framing; write JSON."""
-    jsonout.tell(asyncio.run(measure()), output)
+    """Measure the framing overhead; write JSON."""
+    jsonout.write_result(asyncio.run(measure()), output)
 
 
 if __name__ == '__main__':
--- a/bench/jsonout.py
+++ b/bench/jsonout.py
@@ -1,4 +1,4 @@
-"""What each measurement does with its result."""
+"""Output of benchmark results as JSON."""
 
 import json
 import pathlib
@@ -7,9 +7,9 @@
 import click
 
 
-def tell(found: Any, output: pathlib.Path | None) -> None:
-    """Print a result as JSON; write it to `output` too, if that is given."""
-    shown = json.dumps(found, indent=1, sort_keys=True)
+def write_result(result: Any, output: pathlib.Path | None) -> None:
+    """Print a result as JSON and, if `output` is given, write it there."""
+    encoded = json.dumps(result, indent=1, sort_keys=True)
     if output is not None:
-        output.write_text(shown + '\n')
-    click.echo(shown)
+        output.write_text(encoded + '\n')
+    click.echo(encoded)
--- a/bench/meshes.py
+++ b/bench/meshes.py
@@ -1,4 +1,4 @@
-"""Starts meshes of real daemons for benchmarks, and asks them."""
+"""Starts meshes of daemon processes for benchmarks and queries them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,19 +19,19 @@
 from testing import processes
 
 ANNOUNCE_PERIOD_S = 1.0
-START_S = 120.0
-ASK_S = 20.0
-STARTED_AT_ONCE = 12
-"""Daemons that import at the same time; the machine has as many cores."""
+START_TIMEOUT_S = 120.0
+REQUEST_TIMEOUT_S = 20.0
+START_BATCH_SIZE = 12
+"""As many daemons import their modules at once as the machine has cores."""
 
 
-class Bench:
-    """A running mesh, its targets' announcements and its pages."""
+class BenchMesh:
+    """A running mesh: fetches admin pages and announces targets."""
 
     def __init__(self, running: processes.RunningMesh) -> None:
-        self.running = running
+        self.processes = running
         self.plan = running.plan
-        self.states = {host.host: 'ready' for host in self.plan.hosts}
+        self.target_states = {host.host: 'ready' for host in self.plan.hosts}
         self.client = httpclient.AsyncHTTPClient(
             force_instance=True, max_clients=200
         )
@@ -40,29 +40,34 @@
         )
         self.head = 0
 
-    async def page(self, host: mesh.PlannedHost, path: str) -> dict[str, Any]:
-        answer = await self.client.fetch(
-            f'http://{host.admin}{path}', request_timeout=ASK_S
+    async def fetch_page(
+        self, host: mesh.PlannedHost, path: str
+    ) -> dict[str, Any]:
+        response = await self.client.fetch(
+            f'http://{host.admin}{path}', request_timeout=REQUEST_TIMEOUT_S
         )
-        read: dict[str, Any] = json.loads(answer.body)
-        return read
+        content: dict[str, Any] = json.loads(response.body)
+        return content
 
-    async def pages(self, path: str) -> dict[str, dict[str, Any]]:
-        """Return a page of every daemon, by host."""
-        found = await asyncio.gather(
-            *(self.page(host, path) for host in self.plan.hosts)
+    async def fetch_pages(self, path: str) -> dict[str, dict[str, Any]]:
+        """Return a page of every daemon by host."""
+        fetched = await asyncio.gather(
+            *(self.fetch_page(host, path) for host in self.plan.hosts)
         )
-        return {host.host: page for host, page in zip(self.plan.hosts, found)}
+        return {
+            host.host: page for host, page in zip(self.plan.hosts, fetched)
+        }
 
     async def store_counts(self) -> dict[str, int]:
-        answer = await self.client.fetch(
-            f'{self.plan.store}/control/counts', request_timeout=ASK_S
+        response = await self.client.fetch(
+            f'{self.plan.store}/control/counts',
+            request_timeout=REQUEST_TIMEOUT_S,
         )
-        read: dict[str, int] = json.loads(answer.body)
-        return read
+        counts: dict[str, int] = json.loads(response.body)
+        return counts
 
     async def announce(self, host: mesh.PlannedHost) -> None:
-        """Tell a daemon of its target, as the target would."""
+        """Announce a target to its daemon in place of the target."""
         with contextlib.suppress(httpclient.HTTPError, OSError):
             await self.client.fetch(
                 f'http://{host.admin}/v1/targets/{host.service}',
@@ -72,56 +77,58 @@
                         'name': f't-{host.host}',
                         'port': 1,
                         'slots': 12,
-                        'state': self.states[host.host],
+                        'state': self.target_states[host.host],
                     }
                 ),
-                request_timeout=ASK_S,
+                request_timeout=REQUEST_TIMEOUT_S,
             )
 
-    async def accept(self, text: str) -> int:
-        """Accept a text and return its version."""
-        proposed = operator.propose(text, 'bench', '', self.head, '')
-        won = await versions.accept(
+    async def accept(self, document: str) -> int:
+        """Accept a mesh document and return its version."""
+        proposed = operator.propose(document, 'bench', '', self.head, '')
+        result = await versions.accept(
             self.store, self.plan.mesh, proposed, asyncio.sleep
         )
-        if not isinstance(won, versions.Won):
-            raise RuntimeError(f'the text was not accepted: {won}')
-        self.head = won.revision
-        return won.revision
+        if not isinstance(result, versions.Won):
+            raise RuntimeError(f'the mesh document was not accepted: {result}')
+        self.head = result.revision
+        return result.revision
 
     def check_running(self) -> None:
-        """Raise RuntimeError if a program has ended.
+        """Raise RuntimeError if a process has ended.
 
-        A port that was free when planned may be taken since, where other
-        meshes start on the same machine; then only a new plan helps.
+        If other meshes start on the same machine, they may take a port
+        that was free when the plan was made; this needs a new plan.
         """
-        for name, process in self.running.started.items():
+        for name, process in self.processes.started.items():
             if process.poll() is not None:
-                log = self.running.log_of(name)
-                raise RuntimeError(f'{name} ended, start again: {log[-500:]}')
+                log = self.processes.log_of(name)
+                raise RuntimeError(
+                    f'{name} ended, run the benchmark again: {log[-500:]}'
+                )
 
-    async def wait_joined(self) -> None:
-        """Wait until every daemon is ready and knows every other one.
+    async def wait_until_joined(self) -> None:
+        """Wait until every daemon is ready and knows all members.
 
-        :raises TimeoutError: some did not get there.
+        :raises TimeoutError: not all daemons joined in time.
         """
-        until = time.monotonic() + START_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         count = len(self.plan.hosts)
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             self.check_running()
             with contextlib.suppress(httpclient.HTTPError, OSError):
-                pages = await self.pages('/v1/status')
+                pages = await self.fetch_pages('/v1/status')
                 if all(
                     page['stage'] == 'ready' and len(page['members']) >= count
                     for page in pages.values()
                 ):
                     return
             await asyncio.sleep(0.5)
-        raise TimeoutError('the daemons did not find each other')
+        raise TimeoutError('not all daemons joined the mesh in time')
 
 
-async def _announce_all(bench: Bench) -> None:
-    """Repeat every target's announcement, spread over the period."""
+async def _announce_periodically(bench: BenchMesh) -> None:
+    """Announce every target periodically, spread evenly over the period."""
     hosts = bench.plan.hosts
     while True:
         for host in hosts:
@@ -131,49 +138,51 @@
 
 @contextlib.asynccontextmanager
 async def running(
-    text: str,
+    document: str,
     directory: pathlib.Path,
     hosts_per_zone: int,
     *,
-    announced: bool = True,
-) -> AsyncIterator[Bench]:
-    """Start the platform and the daemons; end them all at the end.
+    announce_targets: bool = True,
+) -> AsyncIterator[BenchMesh]:
+    """Start the platform and the daemons; kill them on exit.
 
-    :param announced: play the targets' part in announcing themselves, so
-        that no process is needed for each of them.
+    :param announce_targets: announce targets from this process, so that no
+        target processes are needed.
     """
     plan = mesh.plan_mesh(
-        text,
+        document,
         directory,
         hosts_per_zone,
         random.Random(),
         {'log_level': 'off'},
     )
-    started = processes.RunningMesh(plan, directory, {})
-    announcing: asyncio.Future[None] | None = None
-    bench = Bench(started)
+    mesh_processes = processes.RunningMesh(plan, directory, {})
+    announce_task: asyncio.Future[None] | None = None
+    bench = BenchMesh(mesh_processes)
     try:
-        started.start_platform()
+        mesh_processes.start_platform()
         for number, host in enumerate(plan.hosts):
-            started.start(
+            mesh_processes.start(
                 f'daemon-{host.host}',
                 'bench.observed',
                 '--settings',
                 host.settings,
             )
-            if number % STARTED_AT_ONCE == STARTED_AT_ONCE - 1:
+            if number % START_BATCH_SIZE == START_BATCH_SIZE - 1:
                 await asyncio.sleep(1.0)
-        await bench.wait_joined()
-        if announced:
-            announcing = asyncio.ensure_future(_announce_all(bench))
+        await bench.wait_until_joined()
+        if announce_targets:
+            announce_task = asyncio.ensure_future(
+                _announce_periodically(bench)
+            )
         yield bench
     finally:
-        if announcing is not None:
-            announcing.cancel()
+        if announce_task is not None:
+            announce_task.cancel()
         bench.client.close()
         bench.store.close()
-        for process in started.started.values():
+        for process in mesh_processes.started.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
-        for process in started.started.values():
+        for process in mesh_processes.started.values():
             process.wait(processes.STOP_S)
--- a/bench/observed.py
+++ b/bench/observed.py
@@ -1,9 +1,10 @@
-"""``peridotd`` as it is, with what benchmarks need hung on its hooks.
+"""Runs ``peridotd`` with the instrumentation that benchmarks need.
 
-Members' records leave no event in the daemon's time line when only their
-targets change, and polling would add its own period to what is measured;
-so this program records one by the hook on which each new fact is told.
-With ``BENCH_PROFILE`` set it writes a cProfile of its loop to that file.
+The daemon records no timeline event when only the targets of a member
+change, and polling would add its period to the measured delay.  This
+program therefore subscribes to changes and records an event for each.
+If ``BENCH_PROFILE`` is set, it writes a cProfile of the daemon's event loop
+to a file with that prefix.
 """
 
 import contextlib
@@ -22,12 +23,12 @@
 MEMBER_EVENT = 'bench.member'
 
 
-def observe(one: assembly.Daemon) -> None:
-    """Record an event for each member's record that is new."""
-    events = one.kernel.find('timeline', timeline.Timeline)
-    replica = one.kernel.find('replica', replicas.Replica)
+def record_member_changes(daemon: assembly.Daemon) -> None:
+    """Record a timeline event for each new member record."""
+    events = daemon.kernel.find('timeline', timeline.Timeline)
+    replica = daemon.kernel.find('replica', replicas.Replica)
 
-    def note(change: replicas.FactChange) -> None:
+    def record_change(change: replicas.FactChange) -> None:
         if change.member is None:
             return
         states = ' '.join(
@@ -37,22 +38,22 @@
             MEMBER_EVENT, states, request_id=f'member-{change.member.host}'
         )
 
-    replica.changed.subscribe(note)
+    replica.changed.subscribe(record_change)
 
 
 async def serve(settings_path: pathlib.Path) -> int:
-    """Run the daemon until SIGTERM, as ``peridotd`` does."""
-    one = assembly.Daemon(settings_border.load_settings(settings_path))
+    """Run the daemon until SIGTERM."""
+    daemon = assembly.Daemon(settings_border.load_settings(settings_path))
     profile = os.environ.get('BENCH_PROFILE', '')
     profiler = cProfile.Profile() if profile else None
-    async with common.stop_signal() as stop, one.running():
-        observe(one)
+    async with common.stop_signal() as stop, daemon.running():
+        record_member_changes(daemon)
         with profiler or contextlib.nullcontext():
             await stop.wait()
         if profiler is not None:
-            host = one.settings.host
+            host = daemon.settings.host
             profiler.dump_stats(f'{profile}.{host}.pstats')
-        await one.leave()
+        await daemon.leave()
     return common.EXIT_OK
 
 
@@ -61,7 +62,7 @@
     '--settings', required=True, type=click.Path(path_type=pathlib.Path)
 )
 def main(settings: pathlib.Path) -> None:
-    """Run one observed daemon."""
+    """Run one instrumented daemon."""
     common.run(lambda: serve(settings))
 
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,8 @@
-"""Measures what the path adds to a direct call of the same target.
+"""Measures the latency and CPU time that daemons add to a direct call.
 
-Three ways to the same kind of target, in one run: direct; by the target's
-own daemon (ingress and guard in one process); by another host's daemon
-(ingress, peer stream, guard).
+One run compares three paths to the same kind of target: direct; through
+the daemon on the target's host (ingress and guard in one process); through
+a daemon on another host (ingress, peer stream, guard).
 """
 
 import asyncio
@@ -21,27 +21,29 @@
 
 import click
 
-from bench import figures
 from bench import jsonout
 from bench import meshes
+from bench import stats
 from peridotpost.load import client
 from peridotpost.load import histogram
 from peridotpost.standins import mesh
 from testing import processes
 
-EXAMPLE = pathlib.Path(__file__).parent.parent / 'examples/rautasilta.yaml'
-PATH = '/bonds/17'
+EXAMPLE_DOCUMENT = (
+    pathlib.Path(__file__).parent.parent / 'examples/rautasilta.yaml'
+)
+REQUEST_PATH = '/bonds/17'
 CALLER_PROCESSES = 3
 CONNECTIONS_EACH = 8
 ROUNDS = 4
-WARM_CALLS = 200
+WARMUP_CALLS = 200
 TOP_FUNCTIONS = 45
 TARGET_SLOTS = '400'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Way:
-    """Where calls go in, for which service, and who carries them."""
+class CallPath:
+    """Entry port and service of calls, and the daemons they pass through."""
 
     name: str
     port: int
@@ -50,13 +52,17 @@
     method: str = 'GET'
 
 
-def ways_of(bench: meshes.Bench, target_port: int) -> list[Way]:
-    """Return the ways; hosts are the example's, one in each zone."""
+def make_call_paths(
+    bench: meshes.BenchMesh, target_port: int
+) -> list[CallPath]:
+    """Return the call paths; the example has one host in each zone."""
     first, second, third, _ = bench.plan.hosts
     return [
-        Way('direct', target_port, first.service, ()),
-        Way('same-host', first.ports['caller_port'], first.service, (first,)),
-        Way(
+        CallPath('direct', target_port, first.service, ()),
+        CallPath(
+            'same-host', first.ports['caller_port'], first.service, (first,)
+        ),
+        CallPath(
             'across',
             second.ports['caller_port'],
             third.service,
@@ -65,70 +71,81 @@
     ]
 
 
-async def open_loop(
-    ways: list[Way], rate: float, seconds: float
+async def run_open_loop(
+    call_paths: list[CallPath], rate: float, seconds: float
 ) -> dict[str, histogram.Histogram]:
-    """Send calls over all ways in turn, each at `rate` a second."""
-    clients = {way.name: client.Client('127.0.0.1', way.port) for way in ways}
-    times = {way.name: histogram.Histogram() for way in ways}
+    """Send calls over all paths in turn, `rate` per second on each."""
+    clients = {
+        call_path.name: client.Client('127.0.0.1', call_path.port)
+        for call_path in call_paths
+    }
+    latencies = {
+        call_path.name: histogram.Histogram() for call_path in call_paths
+    }
     loop = asyncio.get_running_loop()
     pending: set[asyncio.Future[None]] = set()
 
-    async def call(way: Way, due: float) -> None:
-        request = client.Request(way.method, PATH, (('Host', way.service),))
-        received = await clients[way.name].send(request)
-        if received.status != 200:
-            raise RuntimeError(f'{way.name}: status {received.status}')
-        times[way.name].add(loop.time() - due)
-
-    step = 1 / (rate * len(ways))
-    began = loop.time()
-    for number in range(int(seconds * rate * len(ways))):
-        due = began + number * step
+    async def send_call(call_path: CallPath, due: float) -> None:
+        request = client.Request(
+            call_path.method, REQUEST_PATH, (('Host', call_path.service),)
+        )
+        response = await clients[call_path.name].send(request)
+        if response.status != 200:
+            raise RuntimeError(f'{call_path.name}: status {response.status}')
+        latencies[call_path.name].add(loop.time() - due)
+
+    interval_s = 1 / (rate * len(call_paths))
+    started_at = loop.time()
+    for number in range(int(seconds * rate * len(call_paths))):
+        due = started_at + number * interval_s
         await asyncio.sleep(max(0.0, due - loop.time()))
-        task = asyncio.ensure_future(call(ways[number % len(ways)], due))
+        task = asyncio.ensure_future(
+            send_call(call_paths[number % len(call_paths)], due)
+        )
         pending.add(task)
         task.add_done_callback(pending.discard)
     await asyncio.gather(*pending)
-    for one in clients.values():
-        one.close()
-    return times
+    for http_client in clients.values():
+        http_client.close()
+    return latencies
 
 
-async def cpu_of(bench: meshes.Bench, way: Way) -> list[float]:
+async def daemon_cpu_s(
+    bench: meshes.BenchMesh, call_path: CallPath
+) -> list[float]:
     return [
-        float((await bench.page(host, '/v1/status'))['cpu_s'])
-        for host in way.daemons
+        float((await bench.fetch_page(host, '/v1/status'))['cpu_s'])
+        for host in call_path.daemons
     ]
 
 
-async def cpu_per_call(
-    bench: meshes.Bench, way: Way, rate: float, seconds: float
+async def cpu_ms_per_call(
+    bench: meshes.BenchMesh, call_path: CallPath, rate: float, seconds: float
 ) -> list[float]:
-    """Return milliseconds of processor time a call, in each daemon."""
-    idle = await cpu_of(bench, way)
+    """Return CPU milliseconds per call of each daemon, less its idle use."""
+    idle = await daemon_cpu_s(bench, call_path)
     await asyncio.sleep(seconds)
-    before = await cpu_of(bench, way)
-    times = await open_loop([way], rate, seconds)
-    after = await cpu_of(bench, way)
-    count = times[way.name].count
+    before = await daemon_cpu_s(bench, call_path)
+    latencies = await run_open_loop([call_path], rate, seconds)
+    after = await daemon_cpu_s(bench, call_path)
+    count = latencies[call_path.name].count
     return [
         round(((c - b) - (b - a)) / count * 1000, 4)
         for a, b, c in zip(idle, before, after)
     ]
 
 
-async def saturate(way: Way, seconds: float) -> dict[str, float]:
-    """Keep callers in several processes busy; return sums and means."""
-    started = [
+async def saturate(call_path: CallPath, seconds: float) -> dict[str, float]:
+    """Run closed-loop callers in several processes; return sums and means."""
+    callers = [
         await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
             'bench.callers',
             '--port',
-            str(way.port),
+            str(call_path.port),
             '--service',
-            way.service,
+            call_path.service,
             '--connections',
             str(CONNECTIONS_EACH),
             '--seconds',
@@ -137,122 +154,131 @@
         )
         for _ in range(CALLER_PROCESSES)
     ]
-    printed = [(await one.communicate())[0] for one in started]
-    found = [json.loads(line) for line in printed]
+    outputs = [(await process.communicate())[0] for process in callers]
+    results = [json.loads(line) for line in outputs]
     return {
-        'calls_per_s': sum(one['calls_per_s'] for one in found),
-        'failed': sum(one['failed'] for one in found),
-        'calls': sum(one['calls'] for one in found),
-        'p50_ms': sum(one['p50_ms'] for one in found) / len(found),
-        'p99_ms': sum(one['p99_ms'] for one in found) / len(found),
+        'calls_per_s': sum(result['calls_per_s'] for result in results),
+        'failed': sum(result['failed'] for result in results),
+        'calls': sum(result['calls'] for result in results),
+        'p50_ms': sum(result['p50_ms'] for result in results) / len(results),
+        'p99_ms': sum(result['p99_ms'] for result in results) / len(results),
     }
 
 
 async def measure(
     rate: float, seconds: float, profile: bool
 ) -> dict[str, Any]:
-    text = EXAMPLE.read_text()
-    circumstances = figures.circumstances()
+    document = EXAMPLE_DOCUMENT.read_text()
+    circumstances = stats.describe_environment()
     with tempfile.TemporaryDirectory(prefix='bench-') as name:
         directory = pathlib.Path(name)
         if profile:
             os.environ['BENCH_PROFILE'] = str(directory / 'profile')
         async with meshes.running(
-            text, directory, 1, announced=False
+            document, directory, 1, announce_targets=False
         ) as bench:
             ports = await _start_targets(bench)
-            await bench.accept(text)
-            await _wait_routed(bench)
-            ways = ways_of(bench, ports[0])
-            await open_loop(ways, 100.0, WARM_CALLS / 100.0)
+            await bench.accept(document)
+            await _wait_until_routed(bench)
+            call_paths = make_call_paths(bench, ports[0])
+            await run_open_loop(call_paths, 100.0, WARMUP_CALLS / 100.0)
             if profile:
-                await open_loop(ways[1:], rate, seconds)
-                return await _profiles(bench, directory)
+                await run_open_loop(call_paths[1:], rate, seconds)
+                return await _print_profiles(bench, directory)
             return {
                 'circumstances': circumstances,
                 'rate': rate,
                 'seconds': seconds,
-                **await _figures(bench, ways, rate, seconds),
+                **await _measure_paths(bench, call_paths, rate, seconds),
                 'load_1_min_at_end': os.getloadavg()[0],
             }
 
 
-async def _figures(
-    bench: meshes.Bench, ways: list[Way], rate: float, seconds: float
+async def _measure_paths(
+    bench: meshes.BenchMesh,
+    call_paths: list[CallPath],
+    rate: float,
+    seconds: float,
 ) -> dict[str, Any]:
-    times = await open_loop(ways, rate, seconds)
+    latencies = await run_open_loop(call_paths, rate, seconds)
     click.echo('open loop done', err=True)
     cpu = {
-        way.name: await cpu_per_call(bench, way, rate, seconds / 2)
-        for way in ways
-        if way.daemons
+        call_path.name: await cpu_ms_per_call(
+            bench, call_path, rate, seconds / 2
+        )
+        for call_path in call_paths
+        if call_path.daemons
+    }
+    click.echo('CPU time done', err=True)
+    saturated: dict[str, list[dict[str, float]]] = {
+        call_path.name: [] for call_path in call_paths
+    }
+    saturated_cpu_ms: dict[str, list[float]] = {
+        call_path.name: [] for call_path in call_paths
     }
-    click.echo('processor time done', err=True)
-    full: dict[str, list[dict[str, float]]] = {way.name: [] for way in ways}
-    spent: dict[str, list[float]] = {way.name: [] for way in ways}
     for _ in range(ROUNDS):
-        for way in ways:
-            before = await cpu_of(bench, way)
-            found = await saturate(way, seconds / 8)
-            after = await cpu_of(bench, way)
-            full[way.name].append(found)
-            spent[way.name] += [
-                (b - a) / found['calls'] * 1000 for a, b in zip(before, after)
+        for call_path in call_paths:
+            before = await daemon_cpu_s(bench, call_path)
+            result = await saturate(call_path, seconds / 8)
+            after = await daemon_cpu_s(bench, call_path)
+            saturated[call_path.name].append(result)
+            saturated_cpu_ms[call_path.name] += [
+                (b - a) / result['calls'] * 1000 for a, b in zip(before, after)
             ]
     return {
-        'open_loop': _against_direct(
+        'open_loop': _compare_with_direct(
             {
                 name: {
-                    'calls': float(one.count),
-                    'p50_ms': one.quantile(0.5) * 1000,
-                    'p99_ms': one.quantile(0.99) * 1000,
+                    'calls': float(latency.count),
+                    'p50_ms': latency.quantile(0.5) * 1000,
+                    'p99_ms': latency.quantile(0.99) * 1000,
                 }
-                for name, one in times.items()
+                for name, latency in latencies.items()
             }
         ),
         'cpu_ms_per_call_of_each_daemon': cpu,
-        'saturation': _against_direct(
-            {name: _median(found) for name, found in full.items()}
+        'saturation': _compare_with_direct(
+            {name: _median(results) for name, results in saturated.items()}
         ),
         'saturation_cpu_ms_per_call': {
-            name: [round(one, 4) for one in found]
-            for name, found in spent.items()
+            name: [round(cpu_ms, 4) for cpu_ms in values]
+            for name, values in saturated_cpu_ms.items()
         },
     }
 
 
-def _median(found: list[dict[str, float]]) -> dict[str, float]:
+def _median(rows: list[dict[str, float]]) -> dict[str, float]:
     return {
-        name: figures.quantile([one[name] for one in found], 0.5)
-        for name in found[0]
+        name: stats.quantile([row[name] for row in rows], 0.5)
+        for name in rows[0]
     }
 
 
-def _against_direct(
-    found: dict[str, dict[str, float]],
+def _compare_with_direct(
+    rows: dict[str, dict[str, float]],
 ) -> dict[str, dict[str, float]]:
-    """Add each quantile's ratio to and difference from the direct call."""
-    direct = found['direct']
-    shown = {}
-    for name, row in found.items():
-        shown[name] = {key: round(value, 4) for key, value in row.items()}
+    """Add the ratio to and difference from direct calls to each quantile."""
+    direct = rows['direct']
+    result = {}
+    for name, row in rows.items():
+        result[name] = {key: round(value, 4) for key, value in row.items()}
         for quantile in ('p50_ms', 'p99_ms'):
-            shown[name][f'{quantile}_ratio'] = round(
+            result[name][f'{quantile}_ratio'] = round(
                 row[quantile] / direct[quantile], 3
             )
-            shown[name][f'{quantile}_added'] = round(
+            result[name][f'{quantile}_added'] = round(
                 row[quantile] - direct[quantile], 4
             )
-    return shown
+    return result
 
 
-async def _start_targets(bench: meshes.Bench) -> list[int]:
-    """Start a target on each host; return their ports."""
-    running = bench.running
+async def _start_targets(bench: meshes.BenchMesh) -> list[int]:
+    """Start a target on each host; return the targets' ports."""
+    running = bench.processes
     ports = []
-    free = mesh.free_ports(random.Random())
+    free_ports = mesh.free_ports(random.Random())
     for host in bench.plan.hosts:
-        port = next(free)
+        port = next(free_ports)
         running.start_target(
             host, '--port', str(port), '--slots', TARGET_SLOTS
         )
@@ -260,34 +286,34 @@
     return ports
 
 
-async def _wait_routed(bench: meshes.Bench) -> None:
-    until = time.monotonic() + meshes.START_S
+async def _wait_until_routed(bench: meshes.BenchMesh) -> None:
+    deadline = time.monotonic() + meshes.START_TIMEOUT_S
     count = len(bench.plan.hosts)
-    while time.monotonic() < until:
-        pages = await bench.pages('/v1/status')
+    while time.monotonic() < deadline:
+        pages = await bench.fetch_pages('/v1/status')
         if all(
             sum(len(route['endpoints']) for route in page['routes']) == count
             for page in pages.values()
         ):
             return
         await asyncio.sleep(0.1)
-    raise TimeoutError('the tables did not get every target')
+    raise TimeoutError('not every routing table contains all targets')
 
 
-async def _profiles(
-    bench: meshes.Bench, directory: pathlib.Path
+async def _print_profiles(
+    bench: meshes.BenchMesh, directory: pathlib.Path
 ) -> dict[str, Any]:
-    """End the daemons, which write their profiles; print the top of each."""
+    """Stop daemons, which then write their profiles; print the top rows."""
     for host in bench.plan.hosts[:3]:
-        process = bench.running.started.pop(f'daemon-{host.host}')
+        process = bench.processes.started.pop(f'daemon-{host.host}')
         process.send_signal(signal.SIGTERM)
         await asyncio.to_thread(
             functools.partial(process.wait, processes.STOP_S)
         )
-        stats = pstats.Stats(str(directory / f'profile.{host.host}.pstats'))
+        profile = pstats.Stats(str(directory / f'profile.{host.host}.pstats'))
         click.echo(f'=== {host.host}')
         for order in ('tottime', 'cumulative'):
-            stats.sort_stats(order).print_stats(TOP_FUNCTIONS)
+            profile.sort_stats(order).print_stats(TOP_FUNCTIONS)
     return {}
 
 
@@ -296,14 +322,16 @@
 )
 @click.option('--rate', default=100.0, show_default=True)
 @click.option('--seconds', default=20.0, show_default=True)
-@click.option('--profile', is_flag=True, help='Print cProfiles instead.')
+@click.option(
+    '--profile', is_flag=True, help='Print cProfile statistics instead.'
+)
 @click.option('--output', type=click.Path(path_type=pathlib.Path))
 def main(
     rate: float, seconds: float, profile: bool, output: pathlib.Path | None
 ) -> None:
-    """Measure the path's added latency; write JSON."""
-    found = asyncio.run(measure(rate, seconds, profile))
-    jsonout.tell(found, output)
+    """Measure the latency added to direct calls; write JSON."""
+    result = asyncio.run(measure(rate, seconds, profile))
+    jsonout.write_result(result, output)
 
 
 if __name__ == '__main__':
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Turns results into the Markdown page and the plots of docs/measures/."""
+"""Generates the Markdown page and plots of docs/measures/ from results."""
 
 import json
 import pathlib
@@ -13,10 +13,10 @@
 
 from matplotlib import pyplot  # noqa: E402
 
-PAGES = pathlib.Path(__file__).parent.parent / 'docs' / 'measures'
+OUTPUT_DIRECTORY = pathlib.Path(__file__).parent.parent / 'docs' / 'measures'
 
 
-def _plots(runs: dict[str, dict[str, Any]]) -> None:
+def _save_plots(runs: dict[str, dict[str, Any]]) -> None:
     counts = [run['daemons'] for run in runs.values()]
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.4))
     for key, label in (('text_s', 'text'), ('target_s', 'target')):
@@ -43,18 +43,23 @@
     right.set(xlabel='daemons', ylabel='control B/s a daemon', ylim=(0, None))
     right.legend(fontsize=7)
     figure.tight_layout()
-    figure.savefig(PAGES / 'convergence.png', dpi=110)
+    figure.savefig(OUTPUT_DIRECTORY / 'convergence.png', dpi=110)
 
 
-def _write() -> str:
-    four = {size: tables.load(f'convergence-{size}') for size in tables.SIZES}
+def _render_page() -> str:
+    four_zone_runs = {
+        size: tables.load_result(f'convergence-{size}')
+        for size in tables.SIZES
+    }
     runs = {
-        **four,
-        '100 in 2 zones': tables.load(f'convergence-{tables.TREE_RUN}'),
+        **four_zone_runs,
+        '100 in 2 zones': tables.load_result(
+            f'convergence-{tables.TWO_ZONE_RUN}'
+        ),
     }
-    _plots(four)
-    changes = four['100']['churn']
-    path = tables.load('path')
+    _save_plots(four_zone_runs)
+    changes = four_zone_runs['100']['churn']
+    path = tables.load_result('path')
     return '\n'.join(
         [
             '# Measures',
@@ -71,7 +76,7 @@
             'just before the accept, or the target announcing its drain, '
             "to the event in each daemon's own time line.",
             '',
-            *tables.spreads(runs),
+            *tables.delay_table(runs),
             '',
             '![times and bytes against the number of daemons]'
             '(convergence.png)',
@@ -85,25 +90,25 @@
             f'{changes["changes"]["targets"]} target changes in '
             f'{changes["seconds"]:.0f} s.',
             '',
-            *tables.rates(runs),
+            *tables.rate_table(runs),
             '',
-            *tables.store(runs),
+            *tables.store_table(runs),
             '',
             'Least-squares lines through 12, 48 and 100 daemons:',
             '',
-            *tables.slopes(),
+            *tables.slope_table(),
             '',
             'Processor time against messages, by role, idle: '
-            f'{tables.message_cost().constant:.1f} ms a second, and '
-            f'{tables.message_cost().slope:.2f} ms for each link message sent '
-            'with the one received for it.',
+            f'{tables.fit_message_cost().constant:.1f} ms a second, and '
+            f'{tables.fit_message_cost().slope:.2f} ms for each link message '
+            'sent with the one received for it.',
             '',
             '## What changes of the code did',
             '',
             'The same commands at earlier commits; results in '
             'bench/results/first and second.',
             '',
-            *tables.earlier(),
+            *tables.code_version_table(),
             '',
             '## What framing adds to the counted bytes',
             '',
@@ -111,21 +116,21 @@
             'that counts the stream; 52 bytes for each segment and each '
             'acknowledgement are an estimate.',
             '',
-            *tables.framing(),
+            *tables.framing_table(),
             '',
             '## Two ways: the tree, and every daemon watching the store',
             '',
             '`python -m bench.ways --hosts-per-zone 12`: 48 daemons and '
             '48 watchers, each with a platform of its own, in turn.',
             '',
-            *tables.ways(),
+            *tables.distribution_table(),
             '',
             '## Whole text against deltas',
             '',
             '`python -m bench.capacity`: 150 services, one field of one '
             'service changed, over all 150 of them.',
             '',
-            *tables.deltas(),
+            *tables.delta_table(),
             '',
             '## The path against a direct call',
             '',
@@ -135,7 +140,7 @@
             f'{path["circumstances"]["load_1_min"]:.1f}, after '
             f'{path["load_1_min_at_end"]:.1f}.',
             '',
-            *tables.path(),
+            *tables.path_table(),
             '',
             'Processor time a call in each daemon, ms, idle share taken '
             f'off: {json.dumps(path["cpu_ms_per_call_of_each_daemon"])}; '
@@ -149,8 +154,8 @@
 @click.command(epilog='Example: python -m bench.report')
 def main() -> None:
     """Write docs/measures/README.md and its plots."""
-    PAGES.mkdir(parents=True, exist_ok=True)
-    (PAGES / 'README.md').write_text(_write())
+    OUTPUT_DIRECTORY.mkdir(parents=True, exist_ok=True)
+    (OUTPUT_DIRECTORY / 'README.md').write_text(_render_page())
 
 
 if __name__ == '__main__':
--- a/bench/run.sh
+++ b/bench/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures everything behind docs/CAPACITY.md, one run after the other.
+# Runs all benchmarks that docs/CAPACITY.md is based on, one at a time.
 set -euo pipefail
 python="${BIN:-.venv/bin}/python"
 out=bench/results
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,52 +1,52 @@
-"""The tables of docs/measures/, from the results of the runs."""
+"""Renders the tables of docs/measures/ from benchmark results."""
 
 import json
 import pathlib
 from typing import Any
 
-from bench import figures
+from bench import stats
 
 RESULTS = pathlib.Path(__file__).parent / 'results'
 SIZES = ('12', '48', '100')
-TREE_RUN = '100-two-zones'
+TWO_ZONE_RUN = '100-two-zones'
 
 
-def load(name: str) -> dict[str, Any]:
-    """Read a result; it must have been measured before."""
-    found: dict[str, Any] = json.loads((RESULTS / f'{name}.json').read_text())
-    return found
+def load_result(name: str) -> dict[str, Any]:
+    """Read the stored result of a benchmark."""
+    result: dict[str, Any] = json.loads((RESULTS / f'{name}.json').read_text())
+    return result
 
 
-def table(head: list[str], rows: list[list[str]]) -> list[str]:
+def markdown_table(head: list[str], rows: list[list[str]]) -> list[str]:
     lines = ['| ' + ' | '.join(head) + ' |', '|' + '---|' * len(head)]
     return lines + ['| ' + ' | '.join(row) + ' |' for row in rows]
 
 
-def ms(seconds: float) -> str:
+def format_ms(seconds: float) -> str:
     return f'{seconds * 1000:.0f}'
 
 
-def spreads(runs: dict[str, dict[str, Any]]) -> list[str]:
+def delay_table(runs: dict[str, dict[str, Any]]) -> list[str]:
     rows = []
     for name, run in runs.items():
         for what, key in (('text', 'text_s'), ('target', 'target_s')):
-            one = run[key]
+            quantiles = run[key]
             rows.append(
                 [
                     name,
                     what,
-                    str(one['count']),
-                    ms(one['p50']),
-                    ms(one['p99']),
-                    ms(one['highest']),
+                    str(quantiles['count']),
+                    format_ms(quantiles['p50']),
+                    format_ms(quantiles['p99']),
+                    format_ms(quantiles['highest']),
                     f'{run["circumstances"]["load_1_min"]:.1f}',
                 ]
             )
     head = ['daemons', 'change of', 'samples', 'p50 ms', 'p99 ms', 'max ms']
-    return table([*head, 'load before'], rows)
+    return markdown_table([*head, 'load before'], rows)
 
 
-def rates(runs: dict[str, dict[str, Any]]) -> list[str]:
+def rate_table(runs: dict[str, dict[str, Any]]) -> list[str]:
     rows = []
     for name, run in runs.items():
         for phase in ('idle', 'churn'):
@@ -63,7 +63,7 @@
                         f'{row["cpu_max"] * 100:.2f}',
                     ]
                 )
-    return table(
+    return markdown_table(
         [
             'daemons',
             'phase',
@@ -78,7 +78,7 @@
     )
 
 
-def store(runs: dict[str, dict[str, Any]]) -> list[str]:
+def store_table(runs: dict[str, dict[str, Any]]) -> list[str]:
     rows = []
     for name, run in runs.items():
         idle, churn = run['idle'], run['churn']
@@ -92,7 +92,7 @@
                 f'{run["resident_mib"]["highest"]:.0f}',
             ]
         )
-    return table(
+    return markdown_table(
         [
             'daemons',
             'store calls/s idle',
@@ -105,9 +105,9 @@
     )
 
 
-def lines() -> dict[str, figures.Line]:
-    """Return the lines fitted through the sizes of four zones."""
-    runs = [load(f'convergence-{size}') for size in SIZES]
+def fit_lines() -> dict[str, stats.LinearFit]:
+    """Return linear fits over the number of daemons, in four zones."""
+    runs = [load_result(f'convergence-{size}') for size in SIZES]
     counts = [float(run['daemons']) for run in runs]
     values = {
         'text p99, ms': [run['text_s']['p99'] * 1000 for run in runs],
@@ -132,38 +132,45 @@
         row['reconcile.sent-bytes'] + row['reconcile.received-bytes']
         for row in (run['idle']['roles']['all'] for run in runs)
     ]
-    return {name: figures.fit(counts, found) for name, found in values.items()}
+    return {
+        name: stats.fit_line(counts, samples)
+        for name, samples in values.items()
+    }
 
 
-def slopes() -> list[str]:
+def slope_table() -> list[str]:
     rows = [
         [name, f'{line.constant:.3f}', f'{line.slope:.5f}']
-        for name, line in lines().items()
+        for name, line in fit_lines().items()
     ]
-    return table(['figure', 'constant', 'slope per daemon'], rows)
+    return markdown_table(['figure', 'constant', 'slope per daemon'], rows)
 
 
-EARLIER = (
+CODE_VERSIONS = (
     ('fa20b9f, marks of all members', 'first/'),
     ('768ecae, sums and beats', 'second/'),
     ('now', ''),
 )
 
 
-def earlier() -> list[str]:
-    """Show what changes of the code did to the measures."""
+def code_version_table() -> list[str]:
+    """Compare the results at earlier commits with the current ones."""
     rows = []
-    for name, folder in EARLIER:
-        runs = [load(f'{folder}convergence-{size}') for size in SIZES]
+    for name, directory in CODE_VERSIONS:
+        runs = [
+            load_result(f'{directory}convergence-{size}') for size in SIZES
+        ]
         counts = [float(run['daemons']) for run in runs]
-        sums = [run['idle']['roles']['all']['bytes_mean'] for run in runs]
+        byte_rates = [
+            run['idle']['roles']['all']['bytes_mean'] for run in runs
+        ]
         relay = runs[-1]['idle']['roles']['relay']
-        capacity = load(f'{folder}capacity')['fleet'][-1]
+        capacity = load_result(f'{directory}capacity')['fleet'][-1]
         rows.append(
             [
                 name,
-                ' / '.join(f'{one:.0f}' for one in sums),
-                f'{figures.fit(counts, sums).slope:.2f}',
+                ' / '.join(f'{rate:.0f}' for rate in byte_rates),
+                f'{stats.fit_line(counts, byte_rates).slope:.2f}',
                 f'{relay["cpu"] * 100:.2f}',
                 str(capacity['bytes']['digest']),
                 f'{runs[-1]["text_s"]["p99"] * 1000:.0f}',
@@ -179,41 +186,43 @@
         'text p99 ms at 100',
         'load before',
     ]
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
-def message_cost() -> figures.Line:
-    """Fit processor time, ms a second, to link messages a second.
+def fit_message_cost() -> stats.LinearFit:
+    """Fit CPU time in ms per second to link messages per second.
 
-    Through the daemons by role, idle, of the four sizes: what a message
-    sent, and the one received for it, costs a daemon.
+    The points are the idle daemons of each role in all four runs.  The
+    slope is the cost of a message sent and the one received for it.
     """
     xs, ys = [], []
-    for size in (*SIZES, TREE_RUN):
-        for role, row in load(f'convergence-{size}')['idle']['roles'].items():
+    for size in (*SIZES, TWO_ZONE_RUN):
+        for role, row in load_result(f'convergence-{size}')['idle'][
+            'roles'
+        ].items():
             if role != 'all':
                 xs.append(row['link.sent-messages'])
                 ys.append(row['cpu'] * 1000)
-    return figures.fit(xs, ys)
+    return stats.fit_line(xs, ys)
 
 
-def ways() -> list[str]:
-    run = load('ways-48')
+def distribution_table() -> list[str]:
+    run = load_result('ways-48')
     rows = []
     for name in ('tree', 'watch'):
-        one = run[name]
+        result = run[name]
         rows.append(
             [
                 name,
-                ms(one['text_s']['p50']),
-                ms(one['text_s']['p99']),
-                ms(one['text_s']['highest']),
-                str(one['watches']),
-                f'{one["store_bytes_per_change"]:.0f}',
-                f'{one["link_bytes_per_change"]:.0f}',
+                format_ms(result['text_s']['p50']),
+                format_ms(result['text_s']['p99']),
+                format_ms(result['text_s']['highest']),
+                str(result['watches']),
+                f'{result["store_bytes_per_change"]:.0f}',
+                f'{result["link_bytes_per_change"]:.0f}',
             ]
         )
-    return table(
+    return markdown_table(
         [
             'way',
             'p50 ms',
@@ -227,8 +236,8 @@
     )
 
 
-def deltas() -> list[str]:
-    found = load('capacity')['config_bytes']
+def delta_table() -> list[str]:
+    scopes = load_result('capacity')['config_bytes']
     rows = [
         [
             name,
@@ -238,16 +247,16 @@
             str(row['delta_max']),
             f'{row["whole"] / row["delta_p50"]:.0f}',
         ]
-        for name, row in found.items()
+        for name, row in scopes.items()
         if isinstance(row, dict)
     ]
     head = ['scope', 'services', 'whole B', 'delta p50 B', 'delta max B']
-    return table([*head, 'whole/delta'], rows)
+    return markdown_table([*head, 'whole/delta'], rows)
 
 
-def framing() -> list[str]:
-    run = load('framing')
-    stream, rest = run['stream'], run['reconciliation']
+def framing_table() -> list[str]:
+    run = load_result('framing')
+    stream, reconciliation = run['stream'], run['reconciliation']
     rows = [
         [
             'a change on a stream',
@@ -262,10 +271,10 @@
             f'{stream["idle_with_headers_per_s"]:.1f} B',
         ],
         [
-            f'a reconciliation of {rest["members"]} members',
-            f'{rest["payload_bytes_each"]:.0f} B',
-            f'{rest["stream_bytes_each"]:.0f} B',
-            f'{rest["with_headers_each"]:.0f} B',
+            f'a reconciliation of {reconciliation["members"]} members',
+            f'{reconciliation["payload_bytes_each"]:.0f} B',
+            f'{reconciliation["stream_bytes_each"]:.0f} B',
+            f'{reconciliation["with_headers_each"]:.0f} B',
         ],
         [
             'a probe or its acknowledgement',
@@ -275,16 +284,16 @@
         ],
     ]
     head = ['what', 'payload (counted)', 'TCP or UDP stream (measured)']
-    return table([*head, 'with IP headers (estimate)'], rows)
+    return markdown_table([*head, 'with IP headers (estimate)'], rows)
 
 
 def _probe_bytes() -> float:
-    row = load('convergence-100')['idle']['roles']['all']
+    row = load_result('convergence-100')['idle']['roles']['all']
     return float(row['probe.sent-bytes'] / row['probe.sent-messages'])
 
 
-def path() -> list[str]:
-    run = load('path')
+def path_table() -> list[str]:
+    run = load_result('path')
     rows = []
     for phase in ('open_loop', 'saturation'):
         for name, row in run[phase].items():
@@ -303,4 +312,4 @@
     head = ['phase', 'way']
     for quantile in ('p50', 'p99'):
         head += [f'{quantile} ms', 'ratio', 'added ms']
-    return table([*head, 'calls/s'], rows)
+    return markdown_table([*head, 'calls/s'], rows)
--- a/bench/unseen_fleets.py
+++ b/bench/unseen_fleets.py
@@ -1,11 +1,12 @@
-"""Policies on fleets that were drawn, not designed: none may lose.
+"""Compares policies on randomly generated fleets.
 
     python -m bench.unseen_fleets [COUNT]
 
-Draws zones, slots, speeds, depth of calls and overload, plays each fleet in
-the model as built and with one constant replaced, and prints what callers
-earned, beside the bound.  A constant that only suits the fleets it was
-found on shows as a row in which as-built is behind by more than noise.
+Draws zones, slots, speeds, call depth and overload at random.  Simulates
+each fleet with the constants as built and with one constant replaced, and
+prints the callers' share of credit and its upper bound.  If a constant is
+overfitted to the fleets it was tuned on, `as built` is lower than another
+policy in some row by more than noise.
 """
 
 import dataclasses
@@ -19,8 +20,8 @@
 from peridotpost.experiment import scenario as scenarios
 from peridotpost.experiment import simulation
 
-COUNT = 12
-SECONDS = 8.0
+DEFAULT_FLEET_COUNT = 12
+DURATION_S = 8.0
 POLICIES = {
     'as built': {},
     'no margin': {'slots.MARGIN': 0.0},
@@ -31,9 +32,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fleet:
-    """One drawn fleet; `depth` is how many services a request goes through.
+    """A randomly generated fleet.
 
-    :param overload: arrivals' slot time over that of all slots.
+    :param depth: the number of nested calls below the entry service.
+    :param overload: demanded slot time divided by available slot time.
     """
 
     zones: int
@@ -44,18 +46,18 @@
     speeds: tuple[float, ...]
 
 
-def draw(dice: random.Random) -> Fleet:
+def draw_fleet(randomness: random.Random) -> Fleet:
     return Fleet(
-        dice.randint(2, 6),
-        dice.choice((4, 6, 12, 24, 40)),
-        dice.randint(1, 2),
-        dice.randint(0, 3),
-        dice.choice((0.5, 0.8, 1.2, 2.0, 4.0)),
-        tuple(dice.choice((0.6, 0.8, 1.0, 1.4, 1.8)) for _ in range(3)),
+        randomness.randint(2, 6),
+        randomness.choice((4, 6, 12, 24, 40)),
+        randomness.randint(1, 2),
+        randomness.randint(0, 3),
+        randomness.choice((0.5, 0.8, 1.2, 2.0, 4.0)),
+        tuple(randomness.choice((0.6, 0.8, 1.0, 1.4, 1.8)) for _ in range(3)),
     )
 
 
-def scenario_of(fleet: Fleet) -> scenarios.Scenario:
+def make_scenario(fleet: Fleet) -> scenarios.Scenario:
     """Return a scenario: a chain of services, an urgent and a plain route."""
     services = [
         {
@@ -67,17 +69,17 @@
         for level in range(fleet.depth + 1)
     ]
     routes = [
-        _route(fleet, 'plain', 0, 2, 120, 400, 1),
-        _route(fleet, 'urgent', 0, 1, 160, 500, 2),
+        _make_route(fleet, 'plain', 0, 2, 120, 400, 1),
+        _make_route(fleet, 'urgent', 0, 1, 160, 500, 2),
         *(
-            _route(fleet, f'call{level}', level, 1, 30, 120, 0)
+            _make_route(fleet, f'call{level}', level, 1, 30, 120, 0)
             for level in range(1, fleet.depth + 1)
         ),
     ]
     return msgspec.convert(
         {
             'zones': fleet.zones,
-            'seconds': SECONDS,
+            'seconds': DURATION_S,
             'services': services,
             'routes': routes,
         },
@@ -85,7 +87,7 @@
     )
 
 
-def _route(
+def _make_route(
     fleet: Fleet,
     name: str,
     level: int,
@@ -96,8 +98,8 @@
 ) -> dict[str, object]:
     slots = fleet.zones * fleet.per_zone * fleet.slots
     mean_speed = sum(fleet.speeds) / len(fleet.speeds)
-    fits = slots * 1000 / (work_ms * mean_speed)
-    per_s = fleet.overload * fits / 2 if worth else 0
+    capacity_per_s = slots * 1000 / (work_ms * mean_speed)
+    per_s = fleet.overload * capacity_per_s / 2 if worth else 0
     calls = []
     if level < fleet.depth:
         calls = [{'route': f'call{level + 1}', 'share': 0.5}]
@@ -116,25 +118,25 @@
 
 
 def main(count: int) -> None:
-    dice = random.Random(5)
+    randomness = random.Random(5)
     names = '  '.join(f'{name:>11}' for name in POLICIES)
     head = f'{"zones":>5} {"slots":>5} {"depth":>5} {"load":>4} {"bound":>6}'
     print(f'{head}  {names}', flush=True)
     for _ in range(count):
-        fleet = draw(dice)
-        scenario = scenario_of(fleet)
-        most = bound.credit_share(bound.intervals(scenario))
-        found = []
+        fleet = draw_fleet(randomness)
+        scenario = make_scenario(fleet)
+        credit_bound = bound.credit_share(bound.intervals(scenario))
+        columns = []
         for name in POLICIES:
             with policies.replaced(POLICIES[name]):
-                played = simulation.play(scenario, 1, name)
-            found.append(f'{played.credit_share:>11.3f}')
+                result = simulation.play(scenario, 1, name)
+            columns.append(f'{result.credit_share:>11.3f}')
         print(
             f'{fleet.zones:>5} {fleet.slots:>5} {fleet.depth:>5} '
-            f'{fleet.overload:>4} {most:>6.3f}  {"  ".join(found)}',
+            f'{fleet.overload:>4} {credit_bound:>6.3f}  {"  ".join(columns)}',
             flush=True,
         )
 
 
 if __name__ == '__main__':
-    main(int(sys.argv[1]) if len(sys.argv) > 1 else COUNT)
+    main(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_FLEET_COUNT)
--- a/bench/watcher.py
+++ b/bench/watcher.py
@@ -1,7 +1,8 @@
-"""The other way: a daemon without tree or members, which watches the store.
+"""A daemon without tree and membership that watches the store directly.
 
-It runs the same source, checks and replica as a relay does, so that only
-the way of distribution differs.
+It is the baseline of the comparison with distribution by the tree.  It uses
+the same store watcher, checks and replica as a relay, so that only the
+distribution differs.
 """
 
 import json
@@ -19,12 +20,12 @@
 from peridotpost.model import config
 from peridotpost.store import etcd
 
-TIMEOUT_S = 5.0
-WATCH_S = 30.0
+STORE_TIMEOUT_S = 5.0
+WATCH_TIMEOUT_S = 30.0
 
 
-async def watch(store: str, mesh: str, host: str) -> int:
-    """Watch until SIGTERM; print each version's time of being in force."""
+async def run_watcher(store: str, mesh: str, host: str) -> int:
+    """Watch until SIGTERM; print when each version came into force."""
     counts = counters.Counters()
     clock = timers.TimerService(random.Random())
     replica = replicas.Replica(
@@ -35,15 +36,17 @@
         counts,
     )
 
-    def tell(change: replicas.FactChange) -> None:
+    def print_version(change: replicas.FactChange) -> None:
         if change.version is not None:
             at = replica.clock.wall()
             line = {'revision': change.version.revision, 'at': at}
             click.echo(json.dumps(line))
 
-    replica.changed.subscribe(tell)
+    replica.changed.subscribe(print_version)
     async with common.stop_signal() as stop:
-        with etcd.etcd_store([store], TIMEOUT_S, WATCH_S, counts) as platform:
+        with etcd.etcd_store(
+            [store], STORE_TIMEOUT_S, WATCH_TIMEOUT_S, counts
+        ) as platform:
             source = sources.Source(
                 platform, mesh, replica, counts, random.Random()
             )
@@ -59,7 +62,7 @@
 @click.option('--host', required=True)
 def main(store: str, mesh: str, host: str) -> None:
     """Run one watcher."""
-    common.run(lambda: watch(store, mesh, host))
+    common.run(lambda: run_watcher(store, mesh, host))
 
 
 if __name__ == '__main__':
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,7 +1,7 @@
-"""Compares the tree with every daemon watching the store, in one run.
+"""Compares distribution by the tree with daemons that watch the store.
 
-Two platforms stand side by side, one with a mesh of daemons, one with as
-many watchers.  The same changes are accepted in turn, one way at a time.
+Two platforms run at the same time, one with a mesh of daemons, one with as
+many watchers.  Each change is accepted first on one and then on the other.
 """
 
 import asyncio
@@ -18,26 +18,26 @@
 import click
 
 from bench import convergence
-from bench import figures
+from bench import documents
 from bench import jsonout
 from bench import meshes
-from bench import texts
+from bench import stats
 from peridotpost.cli import operator
 from peridotpost.standins import mesh
 from peridotpost.store import versions
 from testing import processes
 
 SETTLE_S = 2.0
-ATTEMPTS = 10
+COLLECT_ATTEMPTS = 10
 
 
 class Watchers:
-    """Processes that watch a platform of their own."""
+    """Watcher processes on a platform of their own."""
 
     def __init__(
         self, running: processes.RunningMesh, count: int, name: str
     ) -> None:
-        self.running = running
+        self.processes = running
         self.names = [f'watcher-{number}' for number in range(count)]
         self.mesh = name
         self.store = operator.open_store((running.plan.store,), 5.0)
@@ -45,110 +45,124 @@
 
     def start(self) -> None:
         for name in self.names:
-            self.running.start(
+            self.processes.start(
                 name,
                 'bench.watcher',
                 '--store',
-                self.running.plan.store,
+                self.processes.plan.store,
                 '--mesh',
                 self.mesh,
                 '--host',
                 name,
             )
 
-    async def text_change(self, text: str) -> list[float]:
-        """Accept a text; return the seconds until each has it in force."""
-        since = time.time()
-        proposed = operator.propose(text, 'bench', '', self.head, '')
-        won = await versions.accept(
+    async def measure_document_change(self, document: str) -> list[float]:
+        """Accept a document; return the delay at each watcher."""
+        accepted_at = time.time()
+        proposed = operator.propose(document, 'bench', '', self.head, '')
+        result = await versions.accept(
             self.store, self.mesh, proposed, asyncio.sleep
         )
-        if not isinstance(won, versions.Won):
-            raise RuntimeError(f'the text was not accepted: {won}')
-        self.head = won.revision
-        for _ in range(ATTEMPTS):
+        if not isinstance(result, versions.Won):
+            raise RuntimeError(f'the mesh document was not accepted: {result}')
+        self.head = result.revision
+        for _ in range(COLLECT_ATTEMPTS):
             await asyncio.sleep(SETTLE_S)
-            found = [self._at(name) for name in self.names]
-            delays = [at - since for at in found if at is not None]
+            times = [self._applied_at(name) for name in self.names]
+            delays = [at - accepted_at for at in times if at is not None]
             if len(delays) == len(self.names):
                 return delays
-        raise TimeoutError('some watchers never had it')
+        raise TimeoutError('not every watcher received the version')
 
-    def _at(self, name: str) -> float | None:
-        for line in self.running.log_of(name).splitlines():
-            told = json.loads(line)
-            if told['revision'] == self.head:
-                return float(told['at'])
+    def _applied_at(self, name: str) -> float | None:
+        for line in self.processes.log_of(name).splitlines():
+            record = json.loads(line)
+            if record['revision'] == self.head:
+                return float(record['at'])
         return None
 
 
 @contextlib.asynccontextmanager
-async def watching(text: str, directory: pathlib.Path, count: int) -> Any:
-    """Start a platform and its watchers; end them at the end."""
-    plan = mesh.plan_mesh(text, directory, 1, random.Random())
-    running = processes.RunningMesh(plan, directory, {})
-    watchers = Watchers(running, count, plan.mesh)
+async def running_watchers(
+    document: str, directory: pathlib.Path, count: int
+) -> Any:
+    """Start a platform and its watchers; kill them on exit."""
+    plan = mesh.plan_mesh(document, directory, 1, random.Random())
+    mesh_processes = processes.RunningMesh(plan, directory, {})
+    watchers = Watchers(mesh_processes, count, plan.mesh)
     try:
-        running.start_platform()
+        mesh_processes.start_platform()
         await asyncio.sleep(1.0)
         watchers.start()
         yield watchers
     finally:
         watchers.store.close()
-        for process in running.started.values():
+        for process in mesh_processes.started.values():
             process.send_signal(signal.SIGKILL)
-        for process in running.started.values():
+        for process in mesh_processes.started.values():
             process.wait(processes.STOP_S)
 
 
 async def measure(
     hosts_per_zone: int, services: int, repetitions: int
 ) -> dict[str, Any]:
-    """Run both ways in turn and return their figures."""
+    """Run both kinds of distribution and return their results."""
     zones = 4
-    text = texts.mesh_text(services, zones)
-    circumstances = figures.circumstances()
+    document = documents.generate_document(services, zones)
+    circumstances = stats.describe_environment()
     with tempfile.TemporaryDirectory(prefix='bench-') as name:
-        own, other = pathlib.Path(name, 'tree'), pathlib.Path(name, 'watch')
-        own.mkdir()
-        other.mkdir()
+        tree_directory, watch_directory = (
+            pathlib.Path(name, 'tree'),
+            pathlib.Path(name, 'watch'),
+        )
+        tree_directory.mkdir()
+        watch_directory.mkdir()
         async with (
-            meshes.running(text, own, hosts_per_zone) as bench,
-            watching(text, other, zones * hosts_per_zone) as watchers,
+            meshes.running(document, tree_directory, hosts_per_zone) as bench,
+            running_watchers(
+                document, watch_directory, zones * hosts_per_zone
+            ) as watchers,
         ):
-            await bench.accept(text)
-            await watchers.text_change(text)
+            await bench.accept(document)
+            await watchers.measure_document_change(document)
             return {
                 'circumstances': circumstances,
                 'daemons': zones * hosts_per_zone,
                 'services': services,
                 'repetitions': repetitions,
-                **await _in_turn(bench, watchers, text, repetitions),
+                **await _measure_alternately(
+                    bench, watchers, document, repetitions
+                ),
             }
 
 
-async def _in_turn(
-    bench: meshes.Bench, watchers: Watchers, text: str, repetitions: int
+async def _measure_alternately(
+    bench: meshes.BenchMesh,
+    watchers: Watchers,
+    document: str,
+    repetitions: int,
 ) -> dict[str, Any]:
-    by_tree: list[float] = []
-    by_watch: list[float] = []
-    # Watches that a daemon gave up on stand until the store's next wait.
+    tree_delays: list[float] = []
+    watch_delays: list[float] = []
+    # The store keeps watches that a daemon abandoned until their wait ends.
     await asyncio.sleep(30.0)
-    before = await convergence.sample(bench)
-    watch_before = await _counts(bench, watchers)
+    before = await convergence.take_sample(bench)
+    watch_before = await _store_counts(bench, watchers)
     for number in range(repetitions):
-        changed = texts.with_deadline(text, number)
-        by_tree += await convergence.text_change(bench, changed)
-        by_watch += await watchers.text_change(changed)
+        changed = documents.with_deadline(document, number)
+        tree_delays += await convergence.measure_document_change(
+            bench, changed
+        )
+        watch_delays += await watchers.measure_document_change(changed)
         click.echo(f'repetition {number + 1} done', err=True)
-    after = await convergence.sample(bench)
-    watch_after = await _counts(bench, watchers)
-    stored = len(
+    after = await convergence.take_sample(bench)
+    watch_after = await _store_counts(bench, watchers)
+    stored_bytes = len(
         versions.to_value(
-            versions.Accepted(1, 1, '0' * 32, 'bench', '', 0.0, 0, text)
+            versions.Accepted(1, 1, '0' * 32, 'bench', '', 0.0, 0, document)
         )
     )
-    links = [
+    link_bytes = [
         (
             after.totals[host].get('link.sent-bytes', 0)
             - before.totals[host].get('link.sent-bytes', 0)
@@ -157,33 +171,37 @@
         for host in after.totals
     ]
     return {
-        'stored_value_bytes': stored,
+        'stored_value_bytes': stored_bytes,
         'tree': {
-            'text_s': dataclasses.asdict(figures.spread(by_tree)),
+            'text_s': dataclasses.asdict(stats.spread(tree_delays)),
             'watches': after.store.get('watching', 0),
-            'link_bytes_per_change': sum(links),
-            'store_bytes_per_change': stored * after.store['watching'],
-            'store_calls': _grown(before.store, after.store),
+            'link_bytes_per_change': sum(link_bytes),
+            'store_bytes_per_change': stored_bytes * after.store['watching'],
+            'store_calls': _count_increases(before.store, after.store),
         },
         'watch': {
-            'text_s': dataclasses.asdict(figures.spread(by_watch)),
+            'text_s': dataclasses.asdict(stats.spread(watch_delays)),
             'watches': watch_after.get('watching', 0),
             'link_bytes_per_change': 0,
-            'store_bytes_per_change': stored * watch_after['watching'],
-            'store_calls': _grown(watch_before, watch_after),
+            'store_bytes_per_change': stored_bytes * watch_after['watching'],
+            'store_calls': _count_increases(watch_before, watch_after),
         },
     }
 
 
-async def _counts(bench: meshes.Bench, watchers: Watchers) -> dict[str, int]:
-    answer = await bench.client.fetch(
-        f'{watchers.running.plan.store}/control/counts'
+async def _store_counts(
+    bench: meshes.BenchMesh, watchers: Watchers
+) -> dict[str, int]:
+    response = await bench.client.fetch(
+        f'{watchers.processes.plan.store}/control/counts'
     )
-    read: dict[str, int] = json.loads(answer.body)
-    return read
+    counts: dict[str, int] = json.loads(response.body)
+    return counts
 
 
-def _grown(before: dict[str, int], after: dict[str, int]) -> dict[str, int]:
+def _count_increases(
+    before: dict[str, int], after: dict[str, int]
+) -> dict[str, int]:
     return {
         name: count - before.get(name, 0)
         for name, count in after.items()
@@ -205,9 +223,9 @@
     repetitions: int,
     output: pathlib.Path | None,
 ) -> None:
-    """Compare both ways; write JSON."""
-    found = asyncio.run(measure(hosts_per_zone, services, repetitions))
-    jsonout.tell(found, output)
+    """Compare both kinds of distribution; write JSON."""
+    result = asyncio.run(measure(hosts_per_zone, services, repetitions))
+    jsonout.write_result(result, output)
 
 
 if __name__ == '__main__':
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -1,8 +1,8 @@
-"""Bounds on bytes, messages and store calls; never on times.
+"""Bounds on bytes, messages and store calls, but not on times.
 
-Each bound stands a little above what is measured now, so that a change
-which makes the control plane heavier fails here before it reaches a
-fleet.  docs/CAPACITY.md works out what each figure costs at full size.
+Each bound is slightly above the current value, so that a change that
+increases the control plane's traffic fails here before it is deployed.
+docs/CAPACITY.md computes the cost of each figure at design capacity.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from grpc import aio
 import pytest
 
+from bench import documents
 from bench import fleets
-from bench import texts
 from peridotpost.decisions import seeds as seed_rules
 from peridotpost.decisions import tree
 from peridotpost.decisions import versions as version_rules
@@ -42,36 +42,36 @@
 from testing import fleets as nodes
 
 ZONE_HOSTS = 473
-LEAF = config.Interest(ingress=True)
+LEAF_INTEREST = config.Interest(ingress=True)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """Messages and bytes, both directions together."""
+    """Messages and bytes, summed over both directions."""
 
     messages: int
     size: int
 
 
-def exchange(pipe: nodes.Pipe) -> Cost:
-    """Let both ends tell each other all they owe; return what it cost."""
+def exchange_all(pipe: nodes.Pipe) -> Cost:
+    """Exchange all pending frames; return their number and size."""
     before = pipe.bytes_sent
     messages = nodes.run_until_quiet([pipe])
     return Cost(messages, pipe.bytes_sent - before)
 
 
-def joined(
+def connected_nodes(
     interest: config.Interest, hosts: int = 20
 ) -> tuple[nodes.Pipe, nodes.Node, nodes.Node]:
-    """Return a stream, quiet by now, from a child to its parent."""
-    parent = fleets.full_node('parent', config.EVERYTHING, hosts)
+    """Return an idle stream between a child and its parent, and both."""
+    parent = fleets.make_full_node('parent', config.EVERYTHING, hosts)
     child = nodes.Node('child', interest)
     pipe = nodes.Pipe(child, parent)
-    exchange(pipe)
+    exchange_all(pipe)
     return pipe, child, parent
 
 
-def later(record: members.MemberRecord) -> members.MemberRecord:
+def next_sequence(record: members.MemberRecord) -> members.MemberRecord:
     return dataclasses.replace(record, sequence=record.sequence + 1)
 
 
@@ -79,7 +79,7 @@
     ('interest', 'delta_bytes', 'whole_bytes'),
     [
         pytest.param(config.EVERYTHING, 570, 48_000, id='relay'),
-        pytest.param(LEAF, 570, 34_000, id='ingress-leaf'),
+        pytest.param(LEAF_INTEREST, 570, 34_000, id='ingress-leaf'),
         pytest.param(
             config.Interest(hosted=frozenset({'orders-006'})),
             540,
@@ -88,45 +88,45 @@
         ),
     ],
 )
-def test_text_change_costs_a_link_its_delta_and_a_word_of_progress(
+def test_document_change_sends_a_delta_and_a_progress_report(
     interest: config.Interest, delta_bytes: int, whole_bytes: int
 ) -> None:
-    pipe, child, parent = joined(interest)
+    pipe, child, parent = connected_nodes(interest)
     target = version_rules.Holding(
         parent.replica.version.scoped(interest), interest
     )
-    whole = version_rules.difference(config.NO_CONFIG, target)
-    assert wire.update_to_wire(whole).ByteSize() <= whole_bytes
+    full_update = version_rules.difference(config.NO_CONFIG, target)
+    assert wire.update_to_wire(full_update).ByteSize() <= whole_bytes
     for number in range(len(parent.replica.version.services)):
         held = parent.replica.version
         parent.hold(fleets.changed_version(held, number))
-        cost = exchange(pipe)
+        cost = exchange_all(pipe)
         assert cost.messages == 2
         assert cost.size <= delta_bytes
     assert child.replica.version == parent.replica.version.scoped(interest)
 
 
-def test_member_change_costs_a_link_one_record() -> None:
-    pipe, child, parent = joined(LEAF)
-    for record in fleets.records(20):
-        parent.learn([later(record)])
-        cost = exchange(pipe)
+def test_member_change_sends_one_record() -> None:
+    pipe, child, parent = connected_nodes(LEAF_INTEREST)
+    for record in fleets.member_records(20):
+        parent.learn([next_sequence(record)])
+        cost = exchange_all(pipe)
         assert cost.messages == 1
         assert cost.size <= 110
     assert child.replica.fleet == parent.replica.fleet
 
 
-async def test_facts_that_come_together_leave_together(
+async def test_simultaneous_changes_are_sent_in_one_message(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A rack's loss costs each child one message.
+    """The loss of a rack must be sent to each child in one message.
 
-    It is some forty records; sent one by one they would cost each of
-    sixteen children forty messages.
+    It changes about forty records; sent one by one, these would be forty
+    messages to each of sixteen children.
     """
-    # Long enough that a stall of a busy machine cannot part the records.
+    # Long enough that a stall of a busy machine does not split the batch.
     monkeypatch.setattr(streams, 'GATHER_S', 1.0)
-    parent = fleets.full_node('parent', LEAF, 20)
+    parent = fleets.make_full_node('parent', LEAF_INTEREST, 20)
     parent.replica.clock = timers.TimerService(random.Random(1))
     link = links.Link('child', parent.table, parent.counts)
     link.greeted = link.owes_greeting = True
@@ -137,46 +137,46 @@
         await closing.wait()
         return aio.EOF
 
-    conversing = asyncio.ensure_future(
+    link_task = asyncio.ensure_future(
         streams.converse(link, read, sent.put, closing)
     )
-    greeting = await asyncio.wait_for(sent.get(), 30)
-    assert greeting.HasField('hello')
-    for record in list(fleets.records(60))[20:]:
+    hello = await asyncio.wait_for(sent.get(), 30)
+    assert hello.HasField('hello')
+    for record in list(fleets.member_records(60))[20:]:
         parent.learn([record])
-        # Each record comes with a message of its own.
+        # Let the link task run, so that the records arrive separately.
         for _ in range(5):
             await asyncio.sleep(0)
-    told = 0
-    facts = 0
-    while told < 40:
+    sent_members = 0
+    fact_messages = 0
+    while sent_members < 40:
         frame = await asyncio.wait_for(sent.get(), 30)
-        told += len(frame.facts.members)
-        facts += frame.HasField('facts')
+        sent_members += len(frame.facts.members)
+        fact_messages += frame.HasField('facts')
     closing.set()
-    await conversing
-    assert facts == 1
+    await link_task
+    assert fact_messages == 1
 
 
-def test_join_of_a_fresh_daemon_costs_what_it_lacks() -> None:
-    """5,200 records, 500 in a message, and little else."""
-    parent = fleets.full_node('parent', config.EVERYTHING)
-    child = nodes.Node('child', LEAF)
-    cost = exchange(nodes.Pipe(child, parent))
+def test_join_of_a_new_daemon_sends_each_record_once() -> None:
+    """The join sends 5,200 records, 500 per message, and little else."""
+    parent = fleets.make_full_node('parent', config.EVERYTHING)
+    child = nodes.Node('child', LEAF_INTEREST)
+    cost = exchange_all(nodes.Pipe(child, parent))
     assert child.replica.fleet.records == parent.replica.fleet.records
     assert cost.messages <= 16
     assert cost.size <= 525_000
 
 
-def test_join_of_a_daemon_that_lacks_nothing_costs_greetings() -> None:
-    """A parent's death moves sixteen children.
+def test_join_of_an_up_to_date_daemon_sends_only_hello_messages() -> None:
+    """A join must not send the version of every member record.
 
-    With the marks of all members in each greeting that was 248 KB a
-    child.
+    When a parent fails, its sixteen children join another parent.  With the
+    versions of all members in each hello message, that was 248 KB per child.
     """
-    parent = fleets.full_node('parent', config.EVERYTHING)
-    child = fleets.full_node('child', LEAF)
-    cost = exchange(nodes.Pipe(child, parent))
+    parent = fleets.make_full_node('parent', config.EVERYTHING)
+    child = fleets.make_full_node('child', LEAF_INTEREST)
+    cost = exchange_all(nodes.Pipe(child, parent))
     assert cost.messages <= 3
     assert cost.size <= 800
 
@@ -188,82 +188,90 @@
         pytest.param(1, 4_500, id='one-member-differs'),
     ],
 )
-async def test_reconciliation_costs_sums_and_the_buckets_that_differ(
+async def test_reconciliation_sends_checksums_and_differing_buckets(
     changed: int, size: int
 ) -> None:
-    """With all members' marks it was 124 KB each, 24 KB/s a daemon."""
-    mine = fleets.full_node('mine', LEAF)
-    other = fleets.full_node('other', config.EVERYTHING)
-    other.learn(later(record) for record in fleets.records(changed))
-    servicer = server.ControlServicer(other.replica, other.table, other.counts)
-    asker = reconcile.Reconciler(
-        mine.replica, mine.counts, 'zone-00', random.Random(1)
+    """Sending all record versions took 124 KB each, 24 KB/s per daemon."""
+    local = fleets.make_full_node('mine', LEAF_INTEREST)
+    remote = fleets.make_full_node('other', config.EVERYTHING)
+    remote.learn(
+        next_sequence(record) for record in fleets.member_records(changed)
+    )
+    servicer = server.ControlServicer(
+        remote.replica, remote.table, remote.counts
+    )
+    reconciler = reconcile.Reconciler(
+        local.replica, local.counts, 'zone-00', random.Random(1)
     )
     async with server.serving(servicer, '127.0.0.1', 0) as port:
-        assert await asker.ask(f'127.0.0.1:{port}')
-    totals = mine.counts.totals
-    spent = totals['reconcile.sent-bytes'] + totals['reconcile.received-bytes']
-    assert spent <= size
-    assert mine.replica.fleet.records == other.replica.fleet.records
+        assert await reconciler.ask(f'127.0.0.1:{port}')
+    totals = local.counts.totals
+    total_bytes = (
+        totals['reconcile.sent-bytes'] + totals['reconcile.received-bytes']
+    )
+    assert total_bytes <= size
+    assert local.replica.fleet.records == remote.replica.fleet.records
 
 
-async def test_idle_stream_costs_no_message() -> None:
-    """A sign of life is a datagram; on the stream it took a core's share."""
-    pipe, _, _ = joined(LEAF)
+async def test_idle_stream_sends_no_message() -> None:
+    """Heartbeats are datagrams; on the stream they took notable CPU time."""
+    pipe, _, _ = connected_nodes(LEAF_INTEREST)
     for end in pipe.ends:
         await end.beat()
-    cost = exchange(pipe)
+    cost = exchange_all(pipe)
     assert cost.messages == 0
 
 
 @pytest.mark.parametrize('relays', [2, 8, 22])
-async def test_accepted_version_costs_no_store_call_of_a_relay(
+async def test_accepted_version_causes_no_store_calls_by_relays(
     relays: int, etcd_store: conftest.StoreFactory
 ) -> None:
-    """The store feels waiting watches and the operator's calls alone."""
-    text = texts.mesh_text(20, 2)
+    """The store sees only open watches and the operator's calls."""
+    document = documents.generate_document(20, 2)
     with contextlib.ExitStack() as stack:
-        async with etcd_store() as under:
-            following = []
+        async with etcd_store() as backend:
+            watchers = []
             arrived: asyncio.Queue[int] = asyncio.Queue()
             for number in range(relays):
-                one = nodes.Node(f'relay-{number}').replica
-                one.changed.subscribe(_tell(arrived))
+                replica = nodes.Node(f'relay-{number}').replica
+                replica.changed.subscribe(_queue_revisions(arrived))
                 source = sources.Source(
-                    _own_store(stack, under),
+                    _open_store(stack, backend),
                     'measured',
-                    one,
-                    one.counts,
+                    replica,
+                    replica.counts,
                     random.Random(number),
                 )
-                following.append(source)
+                watchers.append(source)
                 source.follow_place(tree.Place(True, True, ()))
             await conditions.until(
-                lambda: under.platform.counts['watching'] == relays
+                lambda: backend.platform.counts['watching'] == relays
             )
-            before = dict(under.platform.counts)
-            head = await _accept(under.store, text, 0)
+            before = dict(backend.platform.counts)
+            head = await _accept(backend.store, document, 0)
             for _ in range(relays):
                 assert await arrived.get() == head
-            grown = {
+            increases = {
                 name: count - before.get(name, 0)
-                for name, count in under.platform.counts.items()
+                for name, count in backend.platform.counts.items()
                 if count != before.get(name, 0)
             }
-            assert grown == {'kv/range': 1, 'kv/txn': 1}
-            for source in following:
+            assert increases == {'kv/range': 1, 'kv/txn': 1}
+            for source in watchers:
                 assert source.watching is not None
                 source.watching.cancel()
 
 
-def _own_store(stack: contextlib.ExitStack, under: Any) -> Any:
-    """Return an adapter of its own; each daemon has one."""
+def _open_store(stack: contextlib.ExitStack, backend: Any) -> Any:
+    """Open a separate store adapter, as each daemon has its own."""
     return stack.enter_context(
-        etcd.etcd_store(under.store.endpoints, 5.0, 30.0, counters.Counters())
+        etcd.etcd_store(
+            backend.store.endpoints, 5.0, 30.0, counters.Counters()
+        )
     )
 
 
-def _tell(
+def _queue_revisions(
     arrived: 'asyncio.Queue[int]',
 ) -> Callable[[replicas.FactChange], None]:
     def tell(change: replicas.FactChange) -> None:
@@ -273,38 +281,38 @@
     return tell
 
 
-async def _accept(store: Any, text: str, base: int) -> int:
-    proposed = versions.Accepted(0, 0, 'w1', 'o', '', 0.0, base, text)
-    won = await versions.accept(store, 'measured', proposed, asyncio.sleep)
-    assert isinstance(won, versions.Won)
-    return won.revision
+async def _accept(store: Any, document: str, base: int) -> int:
+    proposed = versions.Accepted(0, 0, 'w1', 'o', '', 0.0, base, document)
+    result = await versions.accept(store, 'measured', proposed, asyncio.sleep)
+    assert isinstance(result, versions.Won)
+    return result.revision
 
 
-async def test_bootstrap_record_costs_one_write_a_period(
+async def test_seed_record_costs_one_write_per_period(
     etcd_store: conftest.StoreFactory,
 ) -> None:
     hosts = [f'h{number}' for number in range(ZONE_HOSTS)]
-    due = tree.seed_hosts('zone-00', hosts, seed_rules.SEEDS_PER_ZONE)
-    assert len(due) == 8
-    async with etcd_store() as under:
-        record = next(fleets.records(1, 1))
+    seed_hosts = tree.seed_hosts('zone-00', hosts, seed_rules.SEEDS_PER_ZONE)
+    assert len(seed_hosts) == 8
+    async with etcd_store() as backend:
+        record = next(fleets.member_records(1, 1))
         keeper = seeds.SeedKeeper(
-            under.store, 'measured', 5.0, counters.Counters()
+            backend.store, 'measured', 5.0, counters.Counters()
         )
         assert await keeper.tick(record, [record.host])
-        before = sum(under.platform.counts.values())
+        before = sum(backend.platform.counts.values())
         for _ in range(5):
             assert await keeper.tick(record, [record.host])
-        assert sum(under.platform.counts.values()) - before == 5
-        assert under.platform.counts['lease/keepalive'] == 5
+        assert sum(backend.platform.counts.values()) - before == 5
+        assert backend.platform.counts['lease/keepalive'] == 5
 
 
-class Neighbours:
-    """The zone as a prober sees it."""
+class FakeMemberView:
+    """Member view of a prober, with all members alive."""
 
     def __init__(self, count: int) -> None:
         self.records = {
-            record.host: record for record in fleets.records(count, 1)
+            record.host: record for record in fleets.member_records(count, 1)
         }
 
     def record_of(self, host: str) -> members.MemberRecord | None:
@@ -317,8 +325,8 @@
         self.records[record.host] = record
 
 
-class Wire:
-    """Takes datagrams; answers each probe at once, or none."""
+class FakeTransport:
+    """Records datagrams; answers every probe at once or none."""
 
     def __init__(self, prober: probing.Prober, answers: bool) -> None:
         self.prober = prober
@@ -345,7 +353,7 @@
         pytest.param(False, 1 + 3, id='silent-so-three-others-probe'),
     ],
 )
-async def test_probing_costs_the_same_in_a_zone_of_any_size(
+async def test_probing_cost_is_independent_of_zone_size(
     answers: bool, datagrams: int
 ) -> None:
     clock = timers.TimerService(random.Random(1))
@@ -353,7 +361,7 @@
         prober = probing.Prober(
             'zone-00-0',
             'zone-00',
-            Neighbours(hosts),
+            FakeMemberView(hosts),
             clock,
             counters.Counters(),
             random.Random(1),
@@ -363,28 +371,30 @@
         )
         prober.pings.encode = wire.member_to_wire
         prober.pings.decode = wire.member_from_wire
-        transport = Wire(prober, answers)
+        transport = FakeTransport(prober, answers)
         prober.pings.transport = transport  # type: ignore[assignment]
         await prober.tick()
         assert len(transport.sent) == datagrams
         assert all(len(data) <= 50 for data in transport.sent)
 
 
-def test_streams_of_each_role_stay_within_their_bounds() -> None:
-    """Streams at a parent or relay bound its messages for a change."""
+def test_stream_counts_of_each_role_are_bounded() -> None:
+    """The streams of a parent or relay bound its messages per change."""
     hosts = [f'zone-00-{number}' for number in range(ZONE_HOSTS)]
-    places = {host: tree.place_of(host, 'zone-00', hosts) for host in hosts}
+    positions = {host: tree.place_of(host, 'zone-00', hosts) for host in hosts}
     children: dict[str, int] = {}
-    for place in places.values():
-        if place.parents:
-            first = place.parents[0]
+    for position in positions.values():
+        if position.parents:
+            first = position.parents[0]
             children[first] = children.get(first, 0) + 1
-    relays = [host for host, place in places.items() if place.relay]
+    relays = [host for host, place in positions.items() if place.relay]
     assert len(relays) == 2
     assert max(children.values()) <= 32
     zones = [
         tree.ZoneRelays(f'zone-{n:02d}', (f'a{n}', f'b{n}'))
         for n in range(1, fleets.ZONES)
     ]
-    calls = tree.links_between_zones(relays[0], 'zone-00', hosts, zones)
-    assert len(calls) == fleets.ZONES - 1
+    cross_zone_links = tree.links_between_zones(
+        relays[0], 'zone-00', hosts, zones
+    )
+    assert len(cross_zone_links) == fleets.ZONES - 1
