--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""First run."""
+"""Demo of a small mesh on one machine."""
--- a/demo/drive.py
+++ b/demo/drive.py
@@ -1,4 +1,4 @@
-"""Drives the demo's mesh as operators and callers would; checks it all."""
+"""Runs the demo as an operator and callers; checks the results."""
 
 import asyncio
 import collections
@@ -21,8 +21,8 @@
 from peridotpost.standins import mesh
 from peridotpost.store import versions
 
-READY_S = 25.0
-IN_FORCE_S = 4.0
+READY_TIMEOUT_S = 25.0
+IN_FORCE_TIMEOUT_S = 4.0
 CALLS = 60
 CONTROL_COUNTERS = (
     'link.sent-bytes',
@@ -35,8 +35,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Received:
-    """What a caller received."""
+class CallResult:
+    """Response to a call, as its caller sees it."""
 
     service: str
     status: int
@@ -46,78 +46,79 @@
 
 
 class Checks:
-    """Collects what held and what did not."""
+    """Prints the result of each check and collects the failed ones."""
 
     def __init__(self) -> None:
         self.failed: list[str] = []
 
-    def expect(self, holds: bool, what: str) -> None:
-        print(f'  [{"ok" if holds else "FAILED"}] {what}')
-        if not holds:
-            self.failed.append(what)
+    def expect(self, passed: bool, description: str) -> None:
+        print(f'  [{"ok" if passed else "FAILED"}] {description}')
+        if not passed:
+            self.failed.append(description)
 
 
-async def in_force(
-    plan: mesh.MeshPlan, revision: int, within_s: float
+async def wait_until_in_force(
+    plan: mesh.MeshPlan, revision: int, timeout_s: float
 ) -> float:
-    """Return the seconds until every daemon has `revision`; -1 if late."""
-    began = time.monotonic()
+    """Return the seconds until all daemons have `revision`; -1 on timeout."""
+    started_at = time.monotonic()
     addresses = tuple(host.admin for host in plan.hosts)
-    while time.monotonic() - began < within_s:
-        asked = await operator.ask_all(
+    while time.monotonic() - started_at < timeout_s:
+        answers = await operator.ask_all(
             addresses, '/v1/status', models.DaemonStatus
         )
-        pages = [one.page for one in asked]
+        pages = [answer.page for answer in answers]
         if all(
             isinstance(page, models.DaemonStatus)
             and page.revision >= revision
             and page.stage == 'ready'
             for page in pages
         ):
-            return time.monotonic() - began
+            return time.monotonic() - started_at
         await asyncio.sleep(0.02)
     return -1.0
 
 
-async def routes_settled(
+async def wait_for_routes(
     plan: mesh.MeshPlan, public: list[str], targets: int
 ) -> bool:
-    """Wait until every daemon routes to `targets` targets of `public`.
+    """Wait until every daemon has `targets` targets of `public` services.
 
-    Internal services are held only where something depends on them.
+    Internal services do not count: only daemons whose services depend on
+    them have them.
     """
-    until = time.monotonic() + READY_S
+    deadline = time.monotonic() + READY_TIMEOUT_S
     addresses = tuple(host.admin for host in plan.hosts)
-    while time.monotonic() < until:
-        asked = await operator.ask_all(
+    while time.monotonic() < deadline:
+        answers = await operator.ask_all(
             addresses, '/v1/status', models.DaemonStatus
         )
-        if {targets_of(one, public) for one in asked} == {targets}:
+        if {count_targets(answer, public) for answer in answers} == {targets}:
             return True
         await asyncio.sleep(0.05)
     return False
 
 
-def targets_of(asked: operator.Asked, services: list[str]) -> int:
-    """Count the targets of `services` in a daemon's table; -1 if silent."""
-    if not isinstance(asked.page, models.DaemonStatus):
+def count_targets(answer: operator.Asked, services: list[str]) -> int:
+    """Count targets of `services` in a daemon's table; -1 without answer."""
+    if not isinstance(answer.page, models.DaemonStatus):
         return -1
     return sum(
         len(route.endpoints)
-        for route in asked.page.routes
+        for route in answer.page.routes
         if route.service in services
     )
 
 
-async def call(
+async def send_call(
     client: httpclient.AsyncHTTPClient,
     host: mesh.PlannedHost,
     service: str,
     method: str,
     key: str,
-) -> Received:
-    began = time.monotonic()
-    answer = await client.fetch(
+) -> CallResult:
+    started_at = time.monotonic()
+    response = await client.fetch(
         f'http://{host.caller}/bonds/17',
         method=method,
         headers={'Host': service, 'Idempotency-Key': key},
@@ -125,52 +126,54 @@
         raise_error=False,
         request_timeout=12,
     )
-    return Received(
+    return CallResult(
         service,
-        answer.code,
-        answer.headers.get('Peridot-Outcome', 'answered'),
-        answer.headers.get('Standin-Target', '-'),
-        (time.monotonic() - began) * 1000,
+        response.code,
+        response.headers.get('Peridot-Outcome', 'answered'),
+        response.headers.get('Standin-Target', '-'),
+        (time.monotonic() - started_at) * 1000,
     )
 
 
-def public_services(text: str) -> list[str]:
-    """Return the services that callers from outside may call."""
-    spec = operator.mesh_of(text, 'text')
-    return [name for name, one in spec.services.items() if not one.internal]
+def public_services(document: str) -> list[str]:
+    """Return the services that external callers may call."""
+    spec = operator.mesh_of(document, 'text')
+    return [
+        name for name, service in spec.services.items() if not service.internal
+    ]
 
 
-async def send_calls(plan: mesh.MeshPlan, text: str) -> list[Received]:
-    """Send calls to every daemon in turn, reads and writes mixed."""
+async def send_calls(plan: mesh.MeshPlan, document: str) -> list[CallResult]:
+    """Send reads and writes to the daemons, round robin."""
     client = httpclient.AsyncHTTPClient(force_instance=True, max_clients=20)
-    spec = operator.mesh_of(text, 'text')
-    services = public_services(text)
+    spec = operator.mesh_of(document, 'text')
+    services = public_services(document)
     randomness = random.Random()
-    work = []
+    pending_calls = []
     for number in range(CALLS):
         service = services[number % len(services)]
         method = 'GET' if spec.services[service].idempotent else 'POST'
         host = plan.hosts[number % len(plan.hosts)]
         key = idempotency.mint(time.time_ns() // 1_000_000, randomness).text
-        work.append(call(client, host, service, method, key))
+        pending_calls.append(send_call(client, host, service, method, key))
     try:
-        return await asyncio.gather(*work)
+        return await asyncio.gather(*pending_calls)
     finally:
         client.close()
 
 
-def tell(received: list[Received]) -> None:
+def print_results(results: list[CallResult]) -> None:
     rows = collections.Counter(
-        (one.service, one.status, one.outcome) for one in received
+        (result.service, result.status, result.outcome) for result in results
     )
     for (service, status, outcome), count in sorted(rows.items()):
         print(f'    {service}: {count} x {status} {outcome}')
 
 
-async def tell_request(
+async def print_request_timeline(
     plan: mesh.MeshPlan, service: str, checks: Checks
 ) -> None:
-    """Send one call and print its events, merged from every daemon."""
+    """Send one call and print its events from all daemons, by time."""
     request_id = uuid.uuid4().hex[:16]
     client = httpclient.AsyncHTTPClient(force_instance=True)
     await client.fetch(
@@ -179,28 +182,28 @@
         raise_error=False,
     )
     client.close()
-    asked = await operator.ask_all(
+    answers = await operator.ask_all(
         tuple(host.admin for host in plan.hosts),
         f'/v1/timeline?request_id={request_id}',
         models.TimelinePage,
     )
     events = [
         event
-        for one in asked
-        if isinstance(one.page, models.TimelinePage)
-        for event in one.page.events
+        for answer in answers
+        if isinstance(answer.page, models.TimelinePage)
+        for event in answer.page.events
     ]
     for event in sorted(events, key=lambda event: event.at):
         print(f'    {event.at:.4f} {event.host} {event.kind} {event.detail}')
     checks.expect(
         any(event.kind == 'call.dispatched' for event in events),
-        'the time line shows where the request ran',
+        'the timeline shows where the request ran',
     )
 
 
-def accept(plan: mesh.MeshPlan, file: pathlib.Path, note: str) -> int:
-    """Accept a text by the operators' own command; return the version."""
-    done = subprocess.run(
+def accept_document(plan: mesh.MeshPlan, file: pathlib.Path, note: str) -> int:
+    """Accept a mesh document by peridotctl; return its version."""
+    completed = subprocess.run(
         [
             sys.executable,
             '-m',
@@ -219,89 +222,100 @@
         text=True,
         check=False,
     )
-    if done.returncode:
-        raise SystemExit(f'accept failed: {done.stdout}{done.stderr}')
-    return int(json.loads(done.stdout)['revision'])
+    if completed.returncode:
+        raise SystemExit(
+            f'accept failed: {completed.stdout}{completed.stderr}'
+        )
+    return int(json.loads(completed.stdout)['revision'])
 
 
-async def control_bytes(plan: mesh.MeshPlan) -> dict[str, int]:
-    asked = await operator.ask_all(
+async def fetch_control_bytes(plan: mesh.MeshPlan) -> dict[str, int]:
+    answers = await operator.ask_all(
         tuple(host.admin for host in plan.hosts),
         '/v1/counters',
         models.CountersPage,
     )
     return {
-        one.page.host: sum(
-            one.page.totals.get(name, 0) for name in CONTROL_COUNTERS
+        answer.page.host: sum(
+            answer.page.totals.get(name, 0) for name in CONTROL_COUNTERS
         )
-        for one in asked
-        if isinstance(one.page, models.CountersPage)
+        for answer in answers
+        if isinstance(answer.page, models.CountersPage)
     }
 
 
-async def drive(work: pathlib.Path, text_file: pathlib.Path) -> int:
-    plan = mesh.load_plan(work / 'plan.json')
-    text = text_file.read_text()
+async def run_demo(
+    directory: pathlib.Path, document_file: pathlib.Path
+) -> int:
+    plan = mesh.load_plan(directory / 'plan.json')
+    document = document_file.read_text()
     checks = Checks()
-    began = time.monotonic()
+    started_at = time.monotonic()
 
-    print(f'1. {len(plan.hosts)} daemons start; the text is accepted')
-    ready = await in_force(plan, 0, READY_S)
-    checks.expect(ready >= 0, f'all daemons ready after {ready:.2f} s')
-    first = accept(plan, text_file, 'first version')
-    took = await in_force(plan, first, IN_FORCE_S)
+    print(f'1. {len(plan.hosts)} daemons start; the mesh document is accepted')
+    ready_s = await wait_until_in_force(plan, 0, READY_TIMEOUT_S)
+    checks.expect(ready_s >= 0, f'all daemons ready after {ready_s:.2f} s')
+    first = accept_document(plan, document_file, 'first version')
+    delay_s = await wait_until_in_force(plan, first, IN_FORCE_TIMEOUT_S)
     checks.expect(
-        took >= 0, f'version {first} in force on every daemon in {took:.3f} s'
+        delay_s >= 0,
+        f'version {first} in force on every daemon in {delay_s:.3f} s',
     )
-    public = public_services(text)
-    expected = sum(host.service in public for host in plan.hosts)
-    settled = await routes_settled(plan, public, expected)
-    checks.expect(settled, f'every daemon routes to {expected} targets')
+    public = public_services(document)
+    target_count = sum(host.service in public for host in plan.hosts)
+    has_routes = await wait_for_routes(plan, public, target_count)
+    checks.expect(has_routes, f'every daemon routes to {target_count} targets')
 
     print('2. calls through every daemon')
-    received = await send_calls(plan, text)
-    tell(received)
+    results = await send_calls(plan, document)
+    print_results(results)
     checks.expect(
-        all(one.status == 200 for one in received), 'every call was answered'
+        all(result.status == 200 for result in results),
+        'every call was answered',
     )
 
-    victim = plan.hosts[0]
-    print(f'3. the target of {victim.host} is killed during calls')
-    pid = int((work / f'target-{victim.host}.pid').read_text())
-    (work / f'target-{victim.host}.killed').touch()
+    killed_host = plan.hosts[0]
+    print(f'3. the target of {killed_host.host} is killed during calls')
+    pid = int((directory / f'target-{killed_host.host}.pid').read_text())
+    (directory / f'target-{killed_host.host}.killed').touch()
     os.kill(pid, signal.SIGKILL)
-    received = await send_calls(plan, text)
-    tell(received)
+    results = await send_calls(plan, document)
+    print_results(results)
     checks.expect(
         all(
-            one.status == 200 or one.outcome in ('not-run', 'unknown')
-            for one in received
+            result.status == 200 or result.outcome in ('not-run', 'unknown')
+            for result in results
         ),
-        'every call got an answer, or a definite word',
+        'every call was answered or ended as not-run or unknown',
     )
-    settled = await routes_settled(plan, public, expected - 1)
-    checks.expect(settled, 'no daemon routes to it any more')
-    received = await send_calls(plan, text)
+    has_routes = await wait_for_routes(plan, public, target_count - 1)
+    checks.expect(has_routes, 'no daemon routes to the killed target any more')
+    results = await send_calls(plan, document)
     checks.expect(
-        all(one.status == 200 for one in received)
-        and all(one.target != f't-{victim.host}' for one in received),
+        all(result.status == 200 for result in results)
+        and all(
+            result.target != f't-{killed_host.host}' for result in results
+        ),
         'every later call was answered by another target',
     )
 
     print('4. a second version is accepted')
-    before, at = await control_bytes(plan), time.monotonic()
-    changed = work / 'second.yaml'
-    changed.write_text(text.replace('deadline_ms: 2000', 'deadline_ms: 2500'))
-    second = accept(plan, changed, 'longer deadlines')
-    took = await in_force(plan, second, IN_FORCE_S)
+    before, at = await fetch_control_bytes(plan), time.monotonic()
+    changed = directory / 'second.yaml'
+    changed.write_text(
+        document.replace('deadline_ms: 2000', 'deadline_ms: 2500')
+    )
+    second = accept_document(plan, changed, 'longer deadlines')
+    delay_s = await wait_until_in_force(plan, second, IN_FORCE_TIMEOUT_S)
     checks.expect(
-        took >= 0, f'version {second} in force on every daemon in {took:.3f} s'
+        delay_s >= 0,
+        f'version {second} in force on every daemon in {delay_s:.3f} s',
     )
     await asyncio.sleep(max(0.0, 3.0 - (time.monotonic() - at)))
-    after, spent = await control_bytes(plan), time.monotonic() - at
-    print(f'   control bytes of each daemon over {spent:.1f} s:')
+    after, elapsed_s = await fetch_control_bytes(plan), time.monotonic() - at
+    print(f'   control bytes of each daemon over {elapsed_s:.1f} s:')
     for host, total in sorted(after.items()):
-        rate = (total - before[host]) / spent
+        rate = (total - before[host]) / elapsed_s
         print(f'    {host}: {total - before[host]} B, {rate:.0f} B/s')
     head = await versions.read_head(
         operator.open_store((plan.store,), 2.0), plan.mesh
@@ -311,15 +325,15 @@
         current is not None and current.revision == second,
         'the store holds the second version',
     )
-    print('5. one request seen over all processes')
-    await tell_request(plan, public[0], checks)
-    print(f'done in {time.monotonic() - began:.1f} s')
+    print('5. timeline of one request over all processes')
+    await print_request_timeline(plan, public[0], checks)
+    print(f'done in {time.monotonic() - started_at:.1f} s')
     return 1 if checks.failed else 0
 
 
 if __name__ == '__main__':
     sys.exit(
         asyncio.run(
-            drive(pathlib.Path(sys.argv[1]), pathlib.Path(sys.argv[2]))
+            run_demo(pathlib.Path(sys.argv[1]), pathlib.Path(sys.argv[2]))
         )
     )
--- a/demo/plan.py
+++ b/demo/plan.py
@@ -1,4 +1,4 @@
-"""Writes the demo's plan; prints what run.sh is to start, a line each."""
+"""Writes the demo's plan; prints a line per process for run.sh to start."""
 
 import pathlib
 import random
@@ -10,9 +10,12 @@
 
 
 def main() -> None:
-    text_file, directory = pathlib.Path(sys.argv[1]), pathlib.Path(sys.argv[2])
+    document_file, directory = (
+        pathlib.Path(sys.argv[1]),
+        pathlib.Path(sys.argv[2]),
+    )
     plan = mesh.plan_mesh(
-        text_file.read_text(), directory, HOSTS_PER_ZONE, random.Random()
+        document_file.read_text(), directory, HOSTS_PER_ZONE, random.Random()
     )
     print(f'platform {plan.platform_port}')
     for host in plan.hosts:
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# First run: one mesh on free loopback ports, ended by itself.
+# Runs one mesh on free loopback ports, checks it and stops it.
 set -u
 STOP_S=12
 cd "$(dirname "$0")/.."
@@ -9,8 +9,9 @@
 names=()
 declare -A pids=()
 
-# A program that hangs must not hang the demo: it is killed and counted.
-end_within_limit() {
+# Waits until a process ends; kills it after STOP_S, so that a process that
+# hangs does not hang the demo.  Its exit code then fails the demo.
+wait_or_kill() {
     local tenths
     for ((tenths = STOP_S * 10; tenths > 0; tenths--)); do
         jobs -rp | grep -qx "$1" || return 0
@@ -19,24 +20,24 @@
     kill -KILL "$1"
 }
 
-# stop KIND: ends by SIGTERM what was started as KIND-*; a program that does
-# not end with exit code 0 was cut short, which fails the demo.
+# stop KIND: stops the processes named KIND* by SIGTERM.  Fails if one of them
+# does not exit with code 0, since it then did not shut down cleanly.
 stop() {
-    local name bad=0
+    local name failed=0
     for name in "${names[@]}"; do
         [[ $name == $1* && -n ${pids[$name]:-} ]] || continue
         [ -e "$work/$name.killed" ] || kill -TERM "${pids[$name]}"
     done
     for name in "${names[@]}"; do
         [[ $name == $1* && -n ${pids[$name]:-} ]] || continue
-        end_within_limit "${pids[$name]}"
+        wait_or_kill "${pids[$name]}"
         if ! wait "${pids[$name]}" 2>/dev/null && [ ! -e "$work/$name.killed" ]; then
             echo "  [FAILED] $name did not stop cleanly"
-            bad=1
+            failed=1
         fi
         unset "pids[$name]"
     done
-    return $bad
+    return $failed
 }
 
 finish() {
@@ -70,9 +71,9 @@
 
 "$bin/python" -m demo.drive "$work" "$text"
 code=$?
-echo "6. every program is stopped by SIGTERM, targets first"
+echo "6. every process is stopped by SIGTERM, targets first"
 if stop target && stop daemon && stop platform; then
-    echo "  [ok] all ended with exit code 0"
+    echo "  [ok] all exited with code 0"
 else
     code=1
 fi
