--- a/bench/report.py
+++ b/bench/report.py
@@ -19,7 +19,7 @@
 def _save_plots(runs: dict[str, dict[str, Any]]) -> None:
     counts = [run['daemons'] for run in runs.values()]
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.4))
-    for key, label in (('text_s', 'text'), ('target_s', 'target')):
+    for key, label in (('text_s', 'document'), ('target_s', 'target')):
         for quantile in ('p50', 'p99', 'highest'):
             left.plot(
                 counts,
@@ -40,7 +40,9 @@
                 marker='o',
                 label=f'{role} {phase}',
             )
-    right.set(xlabel='daemons', ylabel='control B/s a daemon', ylim=(0, None))
+    right.set(
+        xlabel='daemons', ylabel='control B/s per daemon', ylim=(0, None)
+    )
     right.legend(fontsize=7)
     figure.tight_layout()
     figure.savefig(OUTPUT_DIRECTORY / 'convergence.png', dpi=110)
@@ -65,28 +67,31 @@
             '# Measures',
             '',
             'Written by `python -m bench.report` from bench/results/; '
-            '`make bench` measures again.  All daemons, the stand-in '
-            'platform and the callers shared one machine of 12 cores with '
-            'other work; the load average before each run is given.  '
-            'Ratios within one run carry over, absolute times do not.',
+            '`make bench` repeats the measurements.  All daemons, the '
+            'stand-in platform and the callers shared one machine of 12 '
+            'cores with '
+            'other load; the load average before each run is given.  '
+            'Ratios within one run apply to other machines, absolute times '
+            'do not.',
             '',
             '## Time until a change is in force on every daemon',
             '',
-            '`python -m bench.convergence`: text of 150 services; from '
-            'just before the accept, or the target announcing its drain, '
-            "to the event in each daemon's own time line.",
+            '`python -m bench.convergence`: a mesh document of 150 services; '
+            'from just before its acceptance, or before a target announces '
+            "its drain, to the event in each daemon's own timeline.",
             '',
             *tables.delay_table(runs),
             '',
             '![times and bytes against the number of daemons]'
             '(convergence.png)',
             '',
-            '## Control bytes, processor time, store',
+            '## Control bytes, CPU time, store',
             '',
             'Payload bytes by the counters of link, probe and '
-            'reconciliation; the answering side of a reconciliation, '
-            'which counts nothing, is added as the same again.  Under '
-            f'churn {changes["changes"]["texts"]} texts and '
+            'reconciliation.  The responder of a reconciliation counts '
+            'nothing, so the bytes of the initiator are added once more.  '
+            'Under '
+            f'churn {changes["changes"]["texts"]} documents and '
             f'{changes["changes"]["targets"]} target changes in '
             f'{changes["seconds"]:.0f} s.',
             '',
@@ -98,52 +103,52 @@
             '',
             *tables.slope_table(),
             '',
-            'Processor time against messages, by role, idle: '
-            f'{tables.fit_message_cost().constant:.1f} ms a second, and '
+            'CPU time against messages, by role, idle: '
+            f'{tables.fit_message_cost().constant:.1f} ms per second, and '
             f'{tables.fit_message_cost().slope:.2f} ms for each link message '
             'sent with the one received for it.',
             '',
-            '## What changes of the code did',
+            '## Comparison with earlier commits',
             '',
             'The same commands at earlier commits; results in '
             'bench/results/first and second.',
             '',
             *tables.code_version_table(),
             '',
-            '## What framing adds to the counted bytes',
+            '## Framing overhead',
             '',
-            '`python -m bench.framing`: the same exchanges through a relay '
+            '`python -m bench.framing`: the same exchanges through a proxy '
             'that counts the stream; 52 bytes for each segment and each '
             'acknowledgement are an estimate.',
             '',
             *tables.framing_table(),
             '',
-            '## Two ways: the tree, and every daemon watching the store',
+            '## Distribution by the tree and by watches of the store',
             '',
             '`python -m bench.ways --hosts-per-zone 12`: 48 daemons and '
-            '48 watchers, each with a platform of its own, in turn.',
+            '48 watchers, each group with its own platform, in turn.',
             '',
             *tables.distribution_table(),
             '',
-            '## Whole text against deltas',
+            '## Full updates against deltas',
             '',
             '`python -m bench.capacity`: 150 services, one field of one '
             'service changed, over all 150 of them.',
             '',
             *tables.delta_table(),
             '',
-            '## The path against a direct call',
+            '## Calls through daemons against direct calls',
             '',
             f'`python -m bench.path`: {path["rate"]:.0f} calls/s on each '
-            'way, interleaved, then saturation by '
+            'path, interleaved, then saturation by '
             '3 processes with 8 connections each.  Load before '
             f'{path["circumstances"]["load_1_min"]:.1f}, after '
             f'{path["load_1_min_at_end"]:.1f}.',
             '',
             *tables.path_table(),
             '',
-            'Processor time a call in each daemon, ms, idle share taken '
-            f'off: {json.dumps(path["cpu_ms_per_call_of_each_daemon"])}; '
+            'CPU time per call in each daemon, ms, less idle use: '
+            f'{json.dumps(path["cpu_ms_per_call_of_each_daemon"])}; '
             'at saturation '
             f'{json.dumps(path["saturation_cpu_ms_per_call"])}.',
             '',
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -29,7 +29,7 @@
 def delay_table(runs: dict[str, dict[str, Any]]) -> list[str]:
     rows = []
     for name, run in runs.items():
-        for what, key in (('text', 'text_s'), ('target', 'target_s')):
+        for what, key in (('document', 'text_s'), ('target', 'target_s')):
             quantiles = run[key]
             rows.append(
                 [
@@ -110,7 +110,7 @@
     runs = [load_result(f'convergence-{size}') for size in SIZES]
     counts = [float(run['daemons']) for run in runs]
     values = {
-        'text p99, ms': [run['text_s']['p99'] * 1000 for run in runs],
+        'document p99, ms': [run['text_s']['p99'] * 1000 for run in runs],
         'target p99, ms': [run['target_s']['p99'] * 1000 for run in runs],
         'resident p50, MiB': [run['resident_mib']['p50'] for run in runs],
         'store calls/s, idle': [
@@ -124,11 +124,13 @@
     ):
         rows = [run[phase]['roles'][role] for run in runs]
         label = f'{phase}, {role}'
-        values[f'control B/s a daemon, {label}'] = [
+        values[f'control B/s per daemon, {label}'] = [
             row['bytes_mean'] for row in rows
         ]
-        values[f'CPU % a daemon, {label}'] = [row['cpu'] * 100 for row in rows]
-    values['reconcile B/s, asking side, idle'] = [
+        values[f'CPU % per daemon, {label}'] = [
+            row['cpu'] * 100 for row in rows
+        ]
+    values['reconcile B/s, initiator, idle'] = [
         row['reconcile.sent-bytes'] + row['reconcile.received-bytes']
         for row in (run['idle']['roles']['all'] for run in runs)
     ]
@@ -180,10 +182,10 @@
     head = [
         'commit',
         'idle control B/s at 12 / 48 / 100',
-        'slope a daemon',
+        'slope per daemon',
         'relay idle CPU % at 100',
         'digest B at 5,200',
-        'text p99 ms at 100',
+        'document p99 ms at 100',
         'load before',
     ]
     return markdown_table(head, rows)
@@ -224,13 +226,13 @@
         )
     return markdown_table(
         [
-            'way',
+            'distribution',
             'p50 ms',
             'p99 ms',
             'max ms',
             'watches on the store',
-            'bytes from the store a change',
-            'bytes between daemons a change',
+            'bytes from the store per change',
+            'bytes between daemons per change',
         ],
         rows,
     )
@@ -250,8 +252,8 @@
         for name, row in scopes.items()
         if isinstance(row, dict)
     ]
-    head = ['scope', 'services', 'whole B', 'delta p50 B', 'delta max B']
-    return markdown_table([*head, 'whole/delta'], rows)
+    head = ['scope', 'services', 'full B', 'delta p50 B', 'delta max B']
+    return markdown_table([*head, 'full/delta'], rows)
 
 
 def framing_table() -> list[str]:
@@ -265,7 +267,7 @@
             f'{stream["with_headers_per_change"]:.0f} B',
         ],
         [
-            'an idle stream, a second',
+            'an idle stream, per second',
             f'{stream["idle_payload_bytes_per_s"]:.1f} B',
             f'{stream["idle_stream_bytes_per_s"]:.1f} B',
             f'{stream["idle_with_headers_per_s"]:.1f} B',
@@ -309,7 +311,7 @@
                     f'{row.get("calls_per_s", run["rate"]):.0f}',
                 ]
             )
-    head = ['phase', 'way']
+    head = ['phase', 'path']
     for quantile in ('p50', 'p99'):
         head += [f'{quantile} ms', 'ratio', 'added ms']
     return markdown_table([*head, 'calls/s'], rows)
