--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Turns results into the Markdown page and the plots of docs/measures/."""
+"""Generates the Markdown page and plots of docs/measures/ from results."""
 
 import json
 import pathlib
@@ -13,13 +13,13 @@
 
 from matplotlib import pyplot  # noqa: E402
 
-PAGES = pathlib.Path(__file__).parent.parent / 'docs' / 'measures'
+OUTPUT_DIRECTORY = pathlib.Path(__file__).parent.parent / 'docs' / 'measures'
 
 
-def _plots(runs: dict[str, dict[str, Any]]) -> None:
+def _save_plots(runs: dict[str, dict[str, Any]]) -> None:
     counts = [run['daemons'] for run in runs.values()]
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.4))
-    for key, label in (('text_s', 'text'), ('target_s', 'target')):
+    for key, label in (('text_s', 'document'), ('target_s', 'target')):
         for quantile in ('p50', 'p99', 'highest'):
             left.plot(
                 counts,
@@ -40,105 +40,115 @@
                 marker='o',
                 label=f'{role} {phase}',
             )
-    right.set(xlabel='daemons', ylabel='control B/s a daemon', ylim=(0, None))
+    right.set(
+        xlabel='daemons', ylabel='control B/s per daemon', ylim=(0, None)
+    )
     right.legend(fontsize=7)
     figure.tight_layout()
-    figure.savefig(PAGES / 'convergence.png', dpi=110)
+    figure.savefig(OUTPUT_DIRECTORY / 'convergence.png', dpi=110)
 
 
-def _write() -> str:
-    four = {size: tables.load(f'convergence-{size}') for size in tables.SIZES}
+def _render_page() -> str:
+    four_zone_runs = {
+        size: tables.load_result(f'convergence-{size}')
+        for size in tables.SIZES
+    }
     runs = {
-        **four,
-        '100 in 2 zones': tables.load(f'convergence-{tables.TREE_RUN}'),
+        **four_zone_runs,
+        '100 in 2 zones': tables.load_result(
+            f'convergence-{tables.TWO_ZONE_RUN}'
+        ),
     }
-    _plots(four)
-    changes = four['100']['churn']
-    path = tables.load('path')
+    _save_plots(four_zone_runs)
+    changes = four_zone_runs['100']['churn']
+    path = tables.load_result('path')
     return '\n'.join(
         [
             '# Measures',
             '',
             'Written by `python -m bench.report` from bench/results/; '
-            '`make bench` measures again.  All daemons, the stand-in '
-            'platform and the callers shared one machine of 12 cores with '
-            'other work; the load average before each run is given.  '
-            'Ratios within one run carry over, absolute times do not.',
+            '`make bench` repeats the measurements.  All daemons, the '
+            'stand-in platform and the callers shared one machine of 12 '
+            'cores with '
+            'other load; the load average before each run is given.  '
+            'Ratios within one run apply to other machines, absolute times '
+            'do not.',
             '',
             '## Time until a change is in force on every daemon',
             '',
-            '`python -m bench.convergence`: text of 150 services; from '
-            'just before the accept, or the target announcing its drain, '
-            "to the event in each daemon's own time line.",
+            '`python -m bench.convergence`: a mesh document of 150 services; '
+            'from just before its acceptance, or before a target announces '
+            "its drain, to the event in each daemon's own timeline.",
             '',
-            *tables.spreads(runs),
+            *tables.delay_table(runs),
             '',
             '![times and bytes against the number of daemons]'
             '(convergence.png)',
             '',
-            '## Control bytes, processor time, store',
+            '## Control bytes, CPU time, store',
             '',
             'Payload bytes by the counters of link, probe and '
-            'reconciliation; the answering side of a reconciliation, '
-            'which counts nothing, is added as the same again.  Under '
-            f'churn {changes["changes"]["texts"]} texts and '
+            'reconciliation.  The responder of a reconciliation counts '
+            'nothing, so the bytes of the initiator are added once more.  '
+            'Under '
+            f'churn {changes["changes"]["texts"]} documents and '
             f'{changes["changes"]["targets"]} target changes in '
             f'{changes["seconds"]:.0f} s.',
             '',
-            *tables.rates(runs),
+            *tables.rate_table(runs),
             '',
-            *tables.store(runs),
+            *tables.store_table(runs),
             '',
             'Least-squares lines through 12, 48 and 100 daemons:',
             '',
-            *tables.slopes(),
+            *tables.slope_table(),
             '',
-            'Processor time against messages, by role, idle: '
-            f'{tables.message_cost().constant:.1f} ms a second, and '
-            f'{tables.message_cost().slope:.2f} ms for each link message sent '
-            'with the one received for it.',
+            'CPU time against messages, by role, idle: '
+            f'{tables.fit_message_cost().constant:.1f} ms per second, and '
+            f'{tables.fit_message_cost().slope:.2f} ms for each link message '
+            'sent with the one received for it.',
             '',
-            '## What changes of the code did',
+            '## Comparison with earlier commits',
             '',
             'The same commands at earlier commits; results in '
             'bench/results/first and second.',
             '',
-            *tables.earlier(),
+            *tables.code_version_table(),
             '',
-            '## What framing adds to the counted bytes',
+            '## Framing overhead',
             '',
-            '`python -m bench.framing`: the same exchanges through a relay '
+            '`python -m bench.framing`: the same exchanges through a proxy '
             'that counts the stream; 52 bytes for each segment and each '
             'acknowledgement are an estimate.',
             '',
-            *tables.framing(),
+            *tables.framing_table(),
             '',
-            '## Two ways: the tree, and every daemon watching the store',
+            '## Distribution by the tree and by watches of the store',
             '',
             '`python -m bench.ways --hosts-per-zone 12`: 48 daemons and '
-            '48 watchers, each with a platform of its own, in turn.',
+            '48 watchers, each group with its own platform, in turn.',
             '',
-            *tables.ways(),
+            *tables.distribution_table(),
             '',
-            '## Whole text against deltas',
+            '## Full updates against deltas',
             '',
             '`python -m bench.capacity`: 150 services, one field of one '
             'service changed, over all 150 of them.',
             '',
-            *tables.deltas(),
+            *tables.delta_table(),
             '',
-            '## The path against a direct call',
+            '## Calls through daemons against direct calls',
             '',
             f'`python -m bench.path`: {path["rate"]:.0f} calls/s on each '
-            'way, interleaved, then saturation by '
+            'path, interleaved, then saturation by '
             '3 processes with 8 connections each.  Load before '
             f'{path["circumstances"]["load_1_min"]:.1f}, after '
             f'{path["load_1_min_at_end"]:.1f}.',
             '',
-            *tables.path(),
+            *tables.path_table(),
             '',
-            'Processor time a call in each daemon, ms, idle share taken '
-            f'off: {json.dumps(path["cpu_ms_per_call_of_each_daemon"])}; '
+            'CPU time per call in each daemon, ms, less idle use: '
+            f'{json.dumps(path["cpu_ms_per_call_of_each_daemon"])}; '
             'at saturation '
             f'{json.dumps(path["saturation_cpu_ms_per_call"])}.',
             '',
@@ -149,8 +159,8 @@
 @click.command(epilog='Example: python -m bench.report')
 def main() -> None:
     """Write docs/measures/README.md and its plots."""
-    PAGES.mkdir(parents=True, exist_ok=True)
-    (PAGES / 'README.md').write_text(_write())
+    OUTPUT_DIRECTORY.mkdir(parents=True, exist_ok=True)
+    (OUTPUT_DIRECTORY / 'README.md').write_text(_render_page())
 
 
 if __name__ == '__main__':
