--- a/src/peridotpost/calls/gates.py
+++ b/src/peridotpost/calls/gates.py
@@ -84,7 +84,7 @@
         self, gate: TargetGate, ticket: fairness.Ticket
     ) -> bool:
         """Wait for a slot; return False if the call is refused instead."""
-        step = gate.gate.arrive(ticket, self.clock.now())
+        step = gate.gate.submit(ticket, self.clock.now())
         self._apply_step(gate, step)
         if ticket in step.started:
             return True
@@ -129,7 +129,7 @@
     def _release_slot(self, gate: TargetGate, ticket: fairness.Ticket) -> None:
         self._apply_step(gate, gate.gate.finish(ticket, self.clock.now()))
 
-    def _apply_step(self, gate: TargetGate, step: admission.Step) -> None:
+    def _apply_step(self, gate: TargetGate, step: admission.Decision) -> None:
         for ticket in step.refused:
             admitted = gate.waiters.get(ticket)
             if admitted is not None and not admitted.done():
--- a/src/peridotpost/calls/router.py
+++ b/src/peridotpost/calls/router.py
@@ -7,8 +7,8 @@
 
 from peridotpost.calls import guard as guards
 from peridotpost.calls import peers
-from peridotpost.decisions import choice
 from peridotpost.decisions import ejection
+from peridotpost.decisions import loadbalancing
 from peridotpost.decisions import poison
 from peridotpost.decisions import retry
 from peridotpost.distribution import replica as replicas
@@ -51,7 +51,7 @@
         self.counts = counts
         self.zone = zone
         self.randomness = randomness
-        self.book = choice.LoadBook()
+        self.book = loadbalancing.LoadTracker()
         self.ejector = ejection.Ejector(zone, randomness)
         self.retry_budgets: dict[str, retry.RetryBudget] = {}
         self.keyed: KeyedCalls | None = None
@@ -80,7 +80,7 @@
             return self._poison_refusal(refused_s)
         if first_attempt:
             call = dataclasses.replace(call, attempt=first_attempt)
-        return retry.marked(await self._try_targets(call))
+        return retry.mark_retried(await self._try_targets(call))
 
     async def _try_targets(self, call: calls.Call) -> calls.Outcome:
         budget = self.retry_budgets.setdefault(
@@ -93,7 +93,7 @@
         best: calls.Outcome | None = None
         while True:
             outcome = await self._attempt(current, tried)
-            best = retry.final_of(best, outcome)
+            best = retry.combined_outcome(best, outcome)
             spent_ms = int((self.clock.now() - began) * 1000)
             left_ms = call.budget_ms - spent_ms
             if not retry.may_retry(
@@ -126,7 +126,8 @@
 
     def _has_untried_target(self, call: calls.Call, tried: set[str]) -> bool:
         return any(
-            choice.key_of(one) not in tried for one in self._endpoints(call)
+            loadbalancing.target_key(one) not in tried
+            for one in self._endpoints(call)
         )
 
     async def _attempt(
@@ -140,13 +141,13 @@
                 1000,
                 self.replica.host,
             )
-        key = choice.key_of(endpoint)
+        key = loadbalancing.target_key(endpoint)
         tried.add(key)
         if not call.idempotent:
             attempt = call.attempt + len(tried)
             call = dataclasses.replace(call, attempt=attempt)
         self.book.sent(key)
-        self.ejector.trying(key, self.clock.now())
+        self.ejector.note_attempt(key, self.clock.now())
         try:
             outcome = await self._send(call, endpoint)
         finally:
@@ -161,15 +162,15 @@
         outcome: calls.Outcome,
     ) -> None:
         """Update the state that later target selections depend on."""
-        key = choice.key_of(endpoint)
+        key = loadbalancing.target_key(endpoint)
         others = (
-            choice.key_of(one)
+            loadbalancing.target_key(one)
             for one in self._endpoints(call)
             if one is not endpoint
         )
         self.ejector.note(
             _subject(endpoint),
-            ejection.verdict_of(outcome),
+            ejection.classify(outcome),
             others,
             self.clock.now(),
         )
@@ -225,7 +226,7 @@
         excluded: set[str],
         now: float,
     ) -> routing.Endpoint | None:
-        return choice.choose(
+        return loadbalancing.choose(
             endpoints, self.zone, self.book, excluded, now, self.randomness
         )
 
@@ -242,7 +243,7 @@
         if endpoint.host == self.replica.host:
             outcome = await self.guard.run(call, endpoint.name)
             self.book.report(
-                choice.key_of(endpoint),
+                loadbalancing.target_key(endpoint),
                 self.guard.load_of(call.service, endpoint.name),
                 self.clock.now(),
             )
@@ -256,7 +257,9 @@
         )
 
 
-def _subject(endpoint: routing.Endpoint) -> ejection.Subject:
-    return ejection.Subject(
-        choice.key_of(endpoint), endpoint.host, endpoint.availability_zone
+def _subject(endpoint: routing.Endpoint) -> ejection.TargetId:
+    return ejection.TargetId(
+        loadbalancing.target_key(endpoint),
+        endpoint.host,
+        endpoint.availability_zone,
     )
--- a/src/peridotpost/decisions/admission.py
+++ b/src/peridotpost/decisions/admission.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class Decision:
     """Requests that one event started or refused."""
 
     started: tuple[fairness.Ticket, ...] = ()
@@ -117,7 +117,7 @@
         """Return the number of running and queued requests per slot."""
         return (self.running + self.waiting) / max(1, self.slots)
 
-    def arrive(self, ticket: fairness.Ticket, now: float) -> Step:
+    def submit(self, ticket: fairness.Ticket, now: float) -> Decision:
         """Start, queue or refuse a request.
 
         A request that the result names neither started nor refused is queued.
@@ -126,20 +126,20 @@
         state.last_seen = now
         refused = self._remove_expired(now)
         if not self._may_run(state, ticket, now):
-            return Step((), (*refused, ticket))
+            return Decision((), (*refused, ticket))
         if not state.queue.size and self._may_start(ticket.work_class, now):
             self._start(ticket, now, self.waiting > 0)
-            return Step((ticket,), refused)
+            return Decision((ticket,), refused)
         overloaded = self.overloaded(ticket.work_class, now)
         if not self._can_wait(ticket, overloaded, now):
-            return Step((), (*refused, ticket))
+            return Decision((), (*refused, ticket))
         if state.busy_since is None:
             state.busy_since = now
         state.queue.push(ticket)
         refused += self._trim(state, overloaded)
-        return Step(self._start_waiting(now), refused)
+        return Decision(self._start_waiting(now), refused)
 
-    def finish(self, ticket: fairness.Ticket, now: float) -> Step:
+    def finish(self, ticket: fairness.Ticket, now: float) -> Decision:
         """Free the slot of a request and assign it to queued ones."""
         state = self.classes[ticket.work_class]
         state.running -= 1
@@ -147,7 +147,7 @@
         held_s = now - ticket.started
         state.service_s += SERVICE_TIME_WEIGHT * (held_s - state.service_s)
         refused = self._remove_expired(now)
-        return Step(self._start_waiting(now), refused)
+        return Decision(self._start_waiting(now), refused)
 
     def withdraw(self, ticket: fairness.Ticket) -> None:
         """Remove a queued request whose caller is gone."""
--- a/src/peridotpost/decisions/attempts.py
+++ b/src/peridotpost/decisions/attempts.py
@@ -37,10 +37,10 @@
 FAILED_STATUS = 500
 
 
-class Step(enum.Enum):
+class Action(enum.Enum):
     """What the ingress does next."""
 
-    AGAIN = enum.auto()
+    RETRY = enum.auto()
     ANSWER = enum.auto()
     GIVE_UP = enum.auto()
 
@@ -69,11 +69,11 @@
     repeat: forwarding.Repeat = forwarding.Repeat.NONE
 
     @property
-    def is_last(self) -> bool:
+    def is_last_attempt(self) -> bool:
         """Whether a refusal by the next target ends the request."""
         return self.refusals + 1 >= MAX_REFUSALS
 
-    def after(self, outcome: forwarding.Outcome, now: float) -> Step:
+    def after(self, outcome: forwarding.Outcome, now: float) -> Action:
         """Record an outcome and return the next step."""
         if isinstance(outcome, forwarding.Refused):
             return self._after_refusal(outcome, now)
@@ -81,14 +81,14 @@
         self.runs += 1
         if isinstance(outcome, forwarding.Lost):
             self.lost = outcome.detail
-            return self._retry_or(Step.GIVE_UP, now)
+            return self._retry_or(Action.GIVE_UP, now)
         if outcome.status < FAILED_STATUS:
-            return Step.ANSWER
+            return Action.ANSWER
         self.failed = outcome
         self.repeat = forwarding.Repeat.AFTER_FAILURE
-        return self._retry_or(Step.ANSWER, now)
+        return self._retry_or(Action.ANSWER, now)
 
-    def may_follow(self, now: float) -> bool:
+    def may_retry(self, now: float) -> bool:
         """Whether another run is allowed after the one in progress."""
         return (
             self.idempotent
@@ -96,33 +96,35 @@
             and self.deadline - now >= MIN_RETRY_S
         )
 
-    def _after_refusal(self, outcome: forwarding.Refused, now: float) -> Step:
+    def _after_refusal(
+        self, outcome: forwarding.Refused, now: float
+    ) -> Action:
         self.refusals += 1
         self.arrivals += outcome.arrived
         if outcome.reason is forwarding.Refusal.TOO_LATE:
-            return Step.GIVE_UP
+            return Action.GIVE_UP
         if outcome.reason is forwarding.Refusal.NO_RETRY_BUDGET:
             self.budget_refusals += 1
             if self.budget_refusals >= MAX_BUDGET_REFUSALS:
-                return Step.GIVE_UP
+                return Action.GIVE_UP
         if self.refusals >= MAX_REFUSALS:
-            return Step.GIVE_UP
+            return Action.GIVE_UP
         if outcome.arrived:
             return self._retry_if_allowed(now)
-        return Step.AGAIN
+        return Action.RETRY
 
-    def _retry_or(self, otherwise: Step, now: float) -> Step:
+    def _retry_or(self, otherwise: Action, now: float) -> Action:
         """Return `otherwise` unless the request may run again."""
-        if self.idempotent and self._retry_if_allowed(now) is Step.AGAIN:
-            return Step.AGAIN
+        if self.idempotent and self._retry_if_allowed(now) is Action.RETRY:
+            return Action.RETRY
         return otherwise
 
-    def _retry_if_allowed(self, now: float) -> Step:
+    def _retry_if_allowed(self, now: float) -> Action:
         """Return the next step after a dispatch that arrived at a target."""
         if self.repeat is forwarding.Repeat.NONE:
             self.repeat = forwarding.Repeat.AGAIN
         if self.runs >= self.max_attempts:
-            return Step.GIVE_UP
+            return Action.GIVE_UP
         if self.deadline - now < MIN_RETRY_S:
-            return Step.GIVE_UP
-        return Step.AGAIN
+            return Action.GIVE_UP
+        return Action.RETRY
--- a/src/peridotpost/decisions/ejection.py
+++ b/src/peridotpost/decisions/ejection.py
@@ -58,7 +58,7 @@
     """A legitimate refusal, which says nothing about the target's health."""
 
 
-def verdict_of(outcome: calls.Outcome) -> CallSignal:
+def classify(outcome: calls.Outcome) -> CallSignal:
     """Return the signal of `outcome` about the called target."""
     if isinstance(outcome, calls.Answer):
         return CallSignal.FAILED if outcome.status >= 500 else CallSignal.GOOD
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Subject:
+class TargetId:
     """Identity of a target; `key` is the one that ``loadbalancing`` uses."""
 
     key: str
@@ -122,7 +122,7 @@
 
     def note(
         self,
-        target: Subject,
+        target: TargetId,
         signal: CallSignal,
         others: Iterable[str],
         now: float,
@@ -157,7 +157,7 @@
         elif good and record.failure_rate < 0.01:
             del self.records[target.key]
 
-    def excluded(self, targets: Iterable[Subject], now: float) -> set[str]:
+    def excluded(self, targets: Iterable[TargetId], now: float) -> set[str]:
         """Return the keys of a service's targets that get no calls now."""
         if not self.records and not self.zones:
             return set()
@@ -170,7 +170,7 @@
         excluded.sort(key=self._excluded_since)
         return {target.key for target in excluded[:max_excluded]}
 
-    def trying(self, key: str, now: float) -> None:
+    def note_attempt(self, key: str, now: float) -> None:
         """Record a call to `key`, which is a trial if it is ejected."""
         record = self.records.get(key)
         if record is not None and record.ejected:
@@ -222,7 +222,7 @@
             record.failure_rate = 0.0
 
     def _note_zone(
-        self, target: Subject, signal: CallSignal, now: float
+        self, target: TargetId, signal: CallSignal, now: float
     ) -> None:
         zone = target.availability_zone
         if zone == self.zone:
@@ -245,7 +245,7 @@
             record.ejected_at = record.ejected_at or now
             record.ejected_until = now + pause_s * jitter
 
-    def _is_excluded(self, target: Subject, now: float) -> bool:
+    def _is_excluded(self, target: TargetId, now: float) -> bool:
         zone = self.zones.get(target.availability_zone)
         if zone is not None and now < zone.ejected_until:
             return True
@@ -257,7 +257,7 @@
         trial_since = record.trial_since
         return trial_since is not None and now - trial_since < TRIAL_TIMEOUT_S
 
-    def _excluded_since(self, target: Subject) -> float:
+    def _excluded_since(self, target: TargetId) -> float:
         record = self.records.get(target.key)
         if record is not None and record.ejected:
             return record.ejected_at
--- a/src/peridotpost/decisions/failures.py
+++ b/src/peridotpost/decisions/failures.py
@@ -14,13 +14,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class FailureShare:
+class FailureRate:
     """A decaying moving average of failures, 0 to 1.
 
     :param share: the rate at the time `at`, in seconds.
     """
 
-    share: float = 0.0
+    rate: float = 0.0
     at: float = 0.0
 
     def note(self, failed: bool, now: float) -> None:
@@ -30,12 +30,12 @@
 
     def report(self, share: float, now: float) -> None:
         """Replace the rate by one that was measured elsewhere."""
-        self.share = share
+        self.rate = share
         self.at = now
 
     def value(self, now: float) -> float:
         """Return the rate after decay."""
-        if self.share < NEGLIGIBLE_RATE:
+        if self.rate < NEGLIGIBLE_RATE:
             return 0.0
         age_s = max(0.0, now - self.at)
-        return float(self.share * 0.5 ** (age_s / HALF_LIFE_S))
+        return float(self.rate * 0.5 ** (age_s / HALF_LIFE_S))
--- a/src/peridotpost/decisions/choice.py
+++ b/src/peridotpost/decisions/loadbalancing.py
@@ -38,7 +38,7 @@
 FULL = 1.0
 
 
-def key_of(endpoint: routing.Endpoint) -> str:
+def target_key(endpoint: routing.Endpoint) -> str:
     """Return the key of a target in load tracking and ejection."""
     return f'{endpoint.host}/{endpoint.name}'
 
@@ -51,7 +51,7 @@
     at: float
 
 
-class LoadBook:
+class LoadTracker:
     """Load of the targets as known to one daemon."""
 
     def __init__(self) -> None:
@@ -75,7 +75,7 @@
 
     def load(self, endpoint: routing.Endpoint, now: float) -> float:
         """Return the target's load as a share of its present capacity."""
-        key = key_of(endpoint)
+        key = target_key(endpoint)
         share = self._capacity_share(endpoint, key, now)
         local = self.outstanding.get(key, 0) / max(1.0, endpoint.slots * share)
         report = self.reports.get(key)
@@ -119,7 +119,7 @@
 def choose(
     endpoints: Sequence[routing.Endpoint],
     zone: str,
-    loads: LoadBook,
+    loads: LoadTracker,
     excluded: Collection[str],
     now: float,
     randomness: random.Random,
@@ -132,7 +132,7 @@
     local: list[routing.Endpoint] = []
     remote: list[routing.Endpoint] = []
     for endpoint in endpoints:
-        if excluded and key_of(endpoint) in excluded:
+        if excluded and target_key(endpoint) in excluded:
             continue
         (local if endpoint.availability_zone == zone else remote).append(
             endpoint
@@ -150,7 +150,7 @@
 
 def _better_of_two(
     endpoints: Sequence[routing.Endpoint],
-    loads: LoadBook,
+    loads: LoadTracker,
     now: float,
     randomness: random.Random,
 ) -> routing.Endpoint | None:
@@ -174,7 +174,7 @@
     return max(
         endpoints,
         key=lambda endpoint: (
-            tree.weight(key, key_of(endpoint)),
+            tree.weight(key, target_key(endpoint)),
             endpoint.host,
         ),
     )
--- a/src/peridotpost/decisions/returning.py
+++ b/src/peridotpost/decisions/refusedrequests.py
@@ -45,19 +45,19 @@
     """Recently refused requests of one ingress, by fingerprint."""
 
     def __init__(self) -> None:
-        self.held: dict[str, FirstAttempt] = {}
+        self.by_fingerprint: dict[str, FirstAttempt] = {}
 
     def refused(self, fingerprint: str, attempt: FirstAttempt) -> None:
         """Remember a refusal, evicting the oldest one if the table is full."""
-        if len(self.held) >= MAX_REMEMBERED:
-            del self.held[next(iter(self.held))]
-        self.held[fingerprint] = attempt
+        if len(self.by_fingerprint) >= MAX_REMEMBERED:
+            del self.by_fingerprint[next(iter(self.by_fingerprint))]
+        self.by_fingerprint[fingerprint] = attempt
 
-    def came(
+    def take(
         self, fingerprint: str, route: str, now: float
     ) -> FirstAttempt | None:
         """Return and forget the first attempt; None for a new request."""
-        first = self.held.pop(fingerprint, None)
+        first = self.by_fingerprint.pop(fingerprint, None)
         if first is None or first.route != route or now >= first.until:
             return None
         return first
--- a/src/peridotpost/decisions/retry.py
+++ b/src/peridotpost/decisions/retry.py
@@ -80,7 +80,7 @@
     return True
 
 
-def final_of(
+def combined_outcome(
     before: calls.Outcome | None, latest: calls.Outcome
 ) -> calls.Outcome:
     """Return the outcome for the caller after one more attempt.
@@ -93,7 +93,7 @@
     return latest if isinstance(before, calls.NotRun) else before
 
 
-def marked(outcome: calls.Outcome) -> calls.Outcome:
+def mark_retried(outcome: calls.Outcome) -> calls.Outcome:
     """Return `outcome` with a header that stops retries at upper levels."""
     if not isinstance(outcome, calls.Answer) or not is_shed(outcome):
         return outcome
--- a/src/peridotpost/decisions/slots.py
+++ b/src/peridotpost/decisions/slots.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Verdict:
+class Decision:
     """Requests that one event started or refused."""
 
     started: list[forwarding.Order]
@@ -104,7 +104,7 @@
         available_share = 1 - self.shares.before(precedence, slots, now)
         return work_s / slots / available_share
 
-    def arrive(self, order: forwarding.Order, now: float) -> Verdict:
+    def submit(self, order: forwarding.Order, now: float) -> Decision:
         """Start, queue or refuse an order.
 
         An order that the result names neither started nor refused is queued.
@@ -113,26 +113,26 @@
         self._note_arrival(order, now)
         if self.running < self.slots:
             if now >= order.deadline:
-                return Verdict([], [order])
+                return Decision([], [order])
             self._start(order, now, late=False)
-            return Verdict([order], [])
+            return Decision([order], [])
         wait_s = self.expected_wait_s(order, now)
         run_s = self.times.expected_s(order.route)
         margin_s = MARGIN * self.times.deviation_s(order.route)
         if now + wait_s + run_s + margin_s <= order.objective:
             self._wait(order, late=False)
-            return Verdict([], [])
+            return Decision([], [])
         if order.last and self._accepts_late(order, now):
             self._wait(order, late=True)
-            return Verdict([], [])
-        return Verdict([], [order])
+            return Decision([], [])
+        return Decision([], [order])
 
-    def finish(self, order: forwarding.Order, now: float) -> Verdict:
+    def finish(self, order: forwarding.Order, now: float) -> Decision:
         """Free the slot of `order`; return what was started or refused."""
         self.times.add(order.route, now - order.started)
         return self.release(order, now)
 
-    def release(self, order: forwarding.Order, now: float) -> Verdict:
+    def release(self, order: forwarding.Order, now: float) -> Decision:
         """Free a slot without recording the run time."""
         self.running -= 1
         self.running_work_s -= order.run_s
@@ -141,16 +141,16 @@
             self.running_work_s = 0.0
         return self.fill(now)
 
-    def fill(self, now: float) -> Verdict:
+    def fill(self, now: float) -> Decision:
         """Start queued requests while slots are free."""
-        verdict = Verdict([], [])
+        verdict = Decision([], [])
         while self.waiting and self.running < self.slots:
             entry = self.waiting.pop(0)
             if not entry.order.settled:
                 self._dispatch(entry, now, verdict)
         return verdict
 
-    def hopeless_at(self, order: forwarding.Order) -> float:
+    def latest_start(self, order: forwarding.Order) -> float:
         """Return the time after which a queued order misses its deadline."""
         return order.deadline - self._min_run_s(order)
 
@@ -167,7 +167,7 @@
         self.waiting = []
         return orders
 
-    def return_s(self, order: forwarding.Order, now: float) -> float:
+    def retry_after_s(self, order: forwarding.Order, now: float) -> float:
         """Return the seconds after which a refused caller should retry."""
         wait_s = self.expected_wait_s(order, now)
         expected_s = wait_s + self.times.mean_s / 2
@@ -177,7 +177,7 @@
         )
 
     def _dispatch(
-        self, entry: QueueEntry, now: float, verdict: Verdict
+        self, entry: QueueEntry, now: float, verdict: Decision
     ) -> None:
         """Start the head of the queue, requeue it as late, or refuse it."""
         order = entry.order
--- a/src/peridotpost/decisions/targetstate.py
+++ b/src/peridotpost/decisions/targetstate.py
@@ -55,14 +55,14 @@
     run_s: float = DEFAULT_RUN_S
     outstanding: int = 0
     run_by_route: dict[str, float] = dataclasses.field(default_factory=dict)
-    observed_failures: failures.FailureShare = dataclasses.field(
-        default_factory=failures.FailureShare
+    observed_failures: failures.FailureRate = dataclasses.field(
+        default_factory=failures.FailureRate
     )
-    told_failures: failures.FailureShare = dataclasses.field(
-        default_factory=failures.FailureShare
+    reported_failures: failures.FailureRate = dataclasses.field(
+        default_factory=failures.FailureRate
     )
 
-    def stands(
+    def update_state(
         self,
         service: str,
         instance: str,
@@ -92,7 +92,7 @@
     def replaced(self) -> None:
         """Discard the measurements of the previous incarnation."""
         self.observed_failures.report(0.0, 0.0)
-        self.told_failures.report(0.0, 0.0)
+        self.reported_failures.report(0.0, 0.0)
         self.run_s = DEFAULT_RUN_S
         self.run_by_route.clear()
 
@@ -102,11 +102,12 @@
 
     def report_failures(self, share: float, now: float) -> None:
         """Store the failure rate that the guard reported."""
-        self.told_failures.report(share, now)
+        self.reported_failures.report(share, now)
 
     def failure_rate(self, now: float) -> float:
         return max(
-            self.observed_failures.value(now), self.told_failures.value(now)
+            self.observed_failures.value(now),
+            self.reported_failures.value(now),
         )
 
     def load_now(self, now: float) -> float:
--- a/src/peridotpost/experiment/hosts.py
+++ b/src/peridotpost/experiment/hosts.py
@@ -91,23 +91,27 @@
                 forwarding.Refused(forwarding.Refusal.NO_RETRY_BUDGET)
             )
             return
-        decision = self.queue.arrive(order, clock.now)
+        decision = self.queue.submit(order, clock.now)
         if not decision.started and not decision.refused:
-            remaining_s = self.queue.hopeless_at(order) - clock.now
+            remaining_s = self.queue.latest_start(order) - clock.now
             clock.after(max(0.0, remaining_s), lambda: self._expire(order))
         self._apply(decision)
 
     def _expire(self, order: forwarding.Order) -> None:
         if not order.settled and not order.started:
             self.queue.withdraw(order)
-            retry_delay_s = self.queue.return_s(order, self.fleet.clock.now)
+            retry_delay_s = self.queue.retry_after_s(
+                order, self.fleet.clock.now
+            )
             order.settle(
                 forwarding.Refused(forwarding.Refusal.TOO_LATE, retry_delay_s)
             )
 
-    def _apply(self, decision: slots.Verdict) -> None:
+    def _apply(self, decision: slots.Decision) -> None:
         for order in decision.refused:
-            retry_delay_s = self.queue.return_s(order, self.fleet.clock.now)
+            retry_delay_s = self.queue.retry_after_s(
+                order, self.fleet.clock.now
+            )
             order.settle(
                 forwarding.Refused(forwarding.Refusal.FULL, retry_delay_s)
             )
--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -127,7 +127,7 @@
         if remaining_s <= 0:
             remaining_s = pending.deadline - now
         chosen = None
-        if not pending.attempts.is_last:
+        if not pending.attempts.is_last_attempt:
             chosen = host.selector.choose(
                 candidates,
                 route.name,
@@ -202,7 +202,7 @@
             result.arrivals += 1
             candidate.note(outcome is not hosts.SUCCEEDED, now)
         action = pending.attempts.after(outcome, now)
-        if action is attempts.Step.AGAIN and now < pending.deadline:
+        if action is attempts.Action.RETRY and now < pending.deadline:
             self._dispatch(pending)
         else:
             self._complete(pending, pending.attempts.failed or outcome)
--- a/src/peridotpost/mesh/directory.py
+++ b/src/peridotpost/mesh/directory.py
@@ -383,7 +383,7 @@
         return orders.status_of(self.guard.status(), load, failing)
 
     def _own_target_changed(self, status: instances.TargetStatus) -> None:
-        self.own_candidate.stands(
+        self.own_candidate.update_state(
             status.service,
             status.instance,
             status.slots,
@@ -399,7 +399,7 @@
         if peer is None or peer.stream is not stream:
             return
         peer.status_known = True
-        peer.candidate.stands(
+        peer.candidate.update_state(
             status.service,
             status.instance,
             status.slots,
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from peridotpost.decisions import attempts
+from peridotpost.decisions import refusedrequests
 from peridotpost.decisions import releasesplit
-from peridotpost.decisions import returning
 from peridotpost.decisions import selection
 from peridotpost.decisions import split
 from peridotpost.decisions import targetstate
@@ -150,7 +150,7 @@
         self._withdraw(exchange)
 
     def _service_for(
-        self, route: mesh.PathRoute, first: returning.FirstAttempt | None
+        self, route: mesh.PathRoute, first: refusedrequests.FirstAttempt | None
     ) -> str:
         """Return the service of a request, keeping that of a first attempt."""
         if first is not None:
@@ -218,7 +218,7 @@
         if remaining_s <= 0:
             remaining_s = exchange.deadline - now
         candidate = None
-        if not exchange.attempts.is_last:
+        if not exchange.attempts.is_last_attempt:
             candidate = self.selector.choose(
                 candidates,
                 route,
@@ -294,7 +294,7 @@
     def _may_reroute(self, exchange: exchanges.Exchange) -> bool:
         """Whether a dispatched request may be rerouted to another target."""
         now = deadlines.now()
-        if not exchange.attempts.may_follow(now):
+        if not exchange.attempts.may_retry(now):
             return False
         has_alternative = any(
             self._is_untried(exchange, candidate)
@@ -319,7 +319,7 @@
         now = deadlines.now()
         self._record_outcome(exchange, candidate, outcome, now)
         step = exchange.attempts.after(outcome, now)
-        if step is attempts.Step.AGAIN:
+        if step is attempts.Action.RETRY:
             self._dispatch(exchange)
         elif isinstance(outcome, forwarding.TargetAnswer):
             self._finish_with_answer(exchange, outcome)
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -77,7 +77,7 @@
         self.awaiting_body: set[forwarding.Order] = set()
         self.expiries: dict[forwarding.Order, int] = {}
         self.reach = reachability.Reachability(self, log)
-        self.failures = failures.FailureShare()
+        self.failures = failures.FailureRate()
         self.failing_reported_at = 0.0
         self.leaving = False
         self.withheld = False
@@ -118,7 +118,7 @@
         )
         if is_new_instance:
             self.idle.close()
-            self.failures = failures.FailureShare()
+            self.failures = failures.FailureRate()
             self.reach.instance_replaced()
             self.instance_header = (
                 self.names.instance
@@ -181,9 +181,9 @@
         if not self._has_budget(order, now):
             self._refuse_repeat(order)
             return
-        verdict = self.queue.arrive(order, now)
+        verdict = self.queue.submit(order, now)
         if not verdict.started and not verdict.refused:
-            self._set_expiry(self.queue.hopeless_at(order), order)
+            self._set_expiry(self.queue.latest_start(order), order)
         if order.fetch_body is not None and not verdict.refused:
             order.fetch_body()
         self._apply_verdict(verdict)
@@ -248,10 +248,10 @@
             self.idle.close()
         self.changed.fire(self.status())
 
-    def _apply_verdict(self, verdict: slot_rules.Verdict) -> None:
+    def _apply_verdict(self, verdict: slot_rules.Decision) -> None:
         for order in verdict.refused:
             self._clear_expiry(order)
-            retry_after_s = self.queue.return_s(order, deadlines.now())
+            retry_after_s = self.queue.retry_after_s(order, deadlines.now())
             self._log_declined(order, retry_after_s)
             order.settle(
                 forwarding.Refused(forwarding.Refusal.FULL, retry_after_s)
@@ -479,7 +479,7 @@
             return
         if order not in self.running and not self._is_starting(order):
             self.queue.withdraw(order)
-            retry_after_s = self.queue.return_s(order, deadlines.now())
+            retry_after_s = self.queue.retry_after_s(order, deadlines.now())
             self._log_declined(order, retry_after_s)
             order.settle(
                 forwarding.Refused(forwarding.Refusal.TOO_LATE, retry_after_s)
--- a/src/peridotpost/proxy/requesthistory.py
+++ b/src/peridotpost/proxy/requesthistory.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from peridotpost.decisions import poison
-from peridotpost.decisions import returning
+from peridotpost.decisions import refusedrequests
 from peridotpost.model import mesh
 from peridotpost.proxy import deadlines
 from peridotpost.proxy import exchange as exchanges
@@ -27,20 +27,20 @@
 
     def __init__(self) -> None:
         self.poison = poison.PoisonList()
-        self.refused = returning.RefusedRequests()
+        self.refused = refusedrequests.RefusedRequests()
 
     def first_attempt(
         self, message: http1.Message, route: mesh.PathRoute
-    ) -> returning.FirstAttempt | None:
+    ) -> refusedrequests.FirstAttempt | None:
         """Return the first attempt of a request that was refused earlier."""
-        if not self.refused.held:
+        if not self.refused.by_fingerprint:
             return None
         name = _refusal_fingerprint(message)
-        return self.refused.came(name, route.name, deadlines.now())
+        return self.refused.take(name, route.name, deadlines.now())
 
     def remember_refusal(self, exchange: exchanges.Exchange) -> None:
         """Record a refusal, to recognize a retry before the deadline."""
-        attempt = returning.FirstAttempt(
+        attempt = refusedrequests.FirstAttempt(
             exchange.route.name,
             exchange.service,
             exchange.first_at,
--- a/testing/gateload.py
+++ b/testing/gateload.py
@@ -47,10 +47,14 @@
 
 
 class GateUnderTest(Protocol):
-    def arrive(self, ticket: fairness.Ticket, now: float) -> admission.Step:
+    def submit(
+        self, ticket: fairness.Ticket, now: float
+    ) -> admission.Decision:
         """Start, queue or refuse a request."""
 
-    def finish(self, ticket: fairness.Ticket, now: float) -> admission.Step:
+    def finish(
+        self, ticket: fairness.Ticket, now: float
+    ) -> admission.Decision:
         """Free the slot of a request."""
 
 
@@ -61,19 +65,23 @@
         self.free = slots
         self.queue: collections.deque[fairness.Ticket] = collections.deque()
 
-    def arrive(self, ticket: fairness.Ticket, now: float) -> admission.Step:
+    def submit(
+        self, ticket: fairness.Ticket, now: float
+    ) -> admission.Decision:
         self.queue.append(ticket)
         return self._fill()
 
-    def finish(self, ticket: fairness.Ticket, now: float) -> admission.Step:
+    def finish(
+        self, ticket: fairness.Ticket, now: float
+    ) -> admission.Decision:
         self.free += 1
         return self._fill()
 
-    def _fill(self) -> admission.Step:
+    def _fill(self) -> admission.Decision:
         if not self.free or not self.queue:
-            return admission.Step()
+            return admission.Decision()
         self.free -= 1
-        return admission.Step((self.queue.popleft(),))
+        return admission.Decision((self.queue.popleft(),))
 
 
 def poisson(
@@ -108,7 +116,7 @@
     ]
     heapq.heapify(events)
 
-    def apply(decision: admission.Step, now: float) -> None:
+    def apply(decision: admission.Decision, now: float) -> None:
         for ticket in decision.started:
             end = now + tickets[ticket].work_s
             heapq.heappush(events, (end, next(sequence), ticket))
@@ -133,7 +141,7 @@
                 now + event.deadline_s,
             )
             tickets[ticket] = event
-            apply(gate.arrive(ticket, now), now)
+            apply(gate.submit(ticket, now), now)
         else:
             request = tickets.pop(event)
             outcome = IN_TIME if now <= event.deadline + 1e-9 else LATE
--- a/testing/routeload.py
+++ b/testing/routeload.py
@@ -12,9 +12,9 @@
 import random
 
 from peridotpost.decisions import admission
-from peridotpost.decisions import choice
 from peridotpost.decisions import ejection
 from peridotpost.decisions import fairness
+from peridotpost.decisions import loadbalancing
 from peridotpost.model import calls
 from peridotpost.model import routing
 from testing import gateload
@@ -57,14 +57,14 @@
     def __init__(self, zone: str, randomness: random.Random) -> None:
         self.zone = zone
         self.randomness = randomness
-        self.loads = choice.LoadBook()
+        self.loads = loadbalancing.LoadTracker()
         self.ejector = ejection.Ejector(zone, randomness)
 
     def choose(
         self, endpoints: list[routing.Endpoint], now: float
     ) -> routing.Endpoint:
         excluded = self.ejector.excluded(map(target_id, endpoints), now)
-        chosen = choice.choose(
+        chosen = loadbalancing.choose(
             endpoints, self.zone, self.loads, excluded, now, self.randomness
         )
         assert chosen is not None
@@ -86,16 +86,18 @@
     def choose(
         self, endpoints: list[routing.Endpoint], now: float
     ) -> routing.Endpoint:
-        chosen = choice.choose(
+        chosen = loadbalancing.choose(
             endpoints, self.zone, self.loads, (), now, self.randomness
         )
         assert chosen is not None
         return chosen
 
 
-def target_id(endpoint: routing.Endpoint) -> ejection.Subject:
-    return ejection.Subject(
-        choice.key_of(endpoint), endpoint.host, endpoint.availability_zone
+def target_id(endpoint: routing.Endpoint) -> ejection.TargetId:
+    return ejection.TargetId(
+        loadbalancing.target_key(endpoint),
+        endpoint.host,
+        endpoint.availability_zone,
     )
 
 
@@ -155,13 +157,15 @@
 
     def end(call: Call, outcome: calls.Outcome, now: float) -> None:
         called = call.target.endpoint
-        key = choice.key_of(called)
+        key = loadbalancing.target_key(called)
         call.ingress.loads.settled(key)
         call.ingress.loads.report(key, gates[called.host].load(), now)
         others = [
-            choice.key_of(other) for other in endpoints if other is not called
+            loadbalancing.target_key(other)
+            for other in endpoints
+            if other is not called
         ]
-        signal = ejection.verdict_of(outcome)
+        signal = ejection.classify(outcome)
         call.ingress.ejector.note(target_id(called), signal, others, now)
         late = now > call.ticket.deadline + 1e-9
         if isinstance(outcome, calls.NotRun):
@@ -172,7 +176,7 @@
         else:
             run.outcomes[FAILED] += 1
 
-    def apply(decision: admission.Step, now: float) -> None:
+    def apply(decision: admission.Decision, now: float) -> None:
         for ticket in decision.started:
             call = open_calls[ticket]
             healthy = now >= call.target.recovers_at
@@ -197,12 +201,12 @@
         ingress = ingresses[number % len(ingresses)]
         chosen = ingress.choose(endpoints, now)
         target = by_host[chosen.host]
-        key = choice.key_of(chosen)
+        key = loadbalancing.target_key(chosen)
         run.calls[chosen.host] += 1
         if now > seconds / 2:
             run.latest[chosen.host] += 1
         ingress.loads.sent(key)
-        ingress.ejector.trying(key, now)
+        ingress.ejector.note_attempt(key, now)
         ticket = fairness.Ticket('', '', gateload.SHORT, now, now + DEADLINE_S)
         call = Call(ingress, target, ticket, False)
         if target.unreachable and now < target.recovers_at:
@@ -210,5 +214,5 @@
             end(call, unreachable, now)
             continue
         open_calls[ticket] = call
-        apply(gates[chosen.host].arrive(ticket, now), now)
+        apply(gates[chosen.host].submit(ticket, now), now)
     return run
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -176,7 +176,7 @@
         fairness.Ticket('a', str(i), gateload.LONG, 0.0, 60.0)
         for i in range(SLOTS)
     ]
-    assert all(tested.arrive(ticket, 0.0).started for ticket in tickets)
+    assert all(tested.submit(ticket, 0.0).started for ticket in tickets)
 
 
 def test_refused_callers_come_back_at_the_drain_rate() -> None:
@@ -238,8 +238,8 @@
     tested = admission.Gate(1, 8, random.Random(1))
     first = fairness.Ticket('a', '1', gateload.SHORT, 0.0, 100.0)
     second = fairness.Ticket('a', '2', gateload.SHORT, 0.0, 1.0)
-    assert tested.arrive(first, 0.0).started == (first,)
-    assert tested.arrive(second, 0.0) == admission.Step()
+    assert tested.submit(first, 0.0).started == (first,)
+    assert tested.submit(second, 0.0) == admission.Decision()
     assert tested.finish(first, 0.95).refused == (second,)
     assert tested.running == tested.waiting == 0
 
@@ -254,7 +254,7 @@
     now = 0.0
     for number in range(2000):
         now += randomness.expovariate(100)
-        decision = admission.Step()
+        decision = admission.Decision()
         event = randomness.random()
         if event < 0.5:
             ticket = fairness.Ticket(
@@ -265,7 +265,7 @@
                 now + randomness.uniform(0, 0.5),
             )
             waiting.add(ticket)
-            decision = tested.arrive(ticket, now)
+            decision = tested.submit(ticket, now)
         elif event < 0.9 and running:
             ended = min(running, key=lambda one: one.arrived)
             running.remove(ended)
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -12,9 +12,9 @@
 TOO_LATE = forwarding.Refused(forwarding.Refusal.TOO_LATE)
 SHED = forwarding.Refused(forwarding.Refusal.SHED, arrived=True)
 NO_BUDGET = forwarding.Refused(forwarding.Refusal.NO_RETRY_BUDGET)
-AGAIN = attempts.Step.AGAIN
-GIVE_UP = attempts.Step.GIVE_UP
-DONE = attempts.Step.ANSWER
+AGAIN = attempts.Action.RETRY
+GIVE_UP = attempts.Action.GIVE_UP
+DONE = attempts.Action.ANSWER
 
 
 @pytest.mark.parametrize(
@@ -49,8 +49,8 @@
 )
 def test_step_after(
     outcomes: list[forwarding.Outcome],
-    read: attempts.Step,
-    write: attempts.Step,
+    read: attempts.Action,
+    write: attempts.Action,
 ) -> None:
     for idempotent, expected in ((True, read), (False, write)):
         request = attempts.Attempts(idempotent, 2, deadline=1.0)
--- a/testing/test_choice.py
+++ b/testing/test_choice.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from peridotpost.decisions import choice
+from peridotpost.decisions import loadbalancing
 from peridotpost.model import routing
 from testing import routeload
 
@@ -118,26 +118,27 @@
 
 
 def test_capacity_of_a_warmed_target_rises_gradually() -> None:
-    tracker = choice.LoadBook()
+    tracker = loadbalancing.LoadTracker()
     cold = routeload.endpoint(0, cold=True)
     warm = routeload.endpoint(0)
-    tracker.sent(choice.key_of(cold))
+    tracker.sent(loadbalancing.target_key(cold))
     loads = [tracker.load(cold, 0.0)]
     loads += [
-        tracker.load(warm, step * choice.WARM_UP_S / 4) for step in range(5)
+        tracker.load(warm, step * loadbalancing.WARM_UP_S / 4)
+        for step in range(5)
     ]
     assert loads == sorted(loads, reverse=True)
     assert loads[1] == loads[0] == pytest.approx(4 * loads[-1])
 
 
 def test_load_report_decays() -> None:
-    tracker = choice.LoadBook()
+    tracker = loadbalancing.LoadTracker()
     endpoint = routeload.endpoint(0)
-    tracker.report(choice.key_of(endpoint), 2.0, 0.0)
+    tracker.report(loadbalancing.target_key(endpoint), 2.0, 0.0)
     assert tracker.load(endpoint, 0.0) == pytest.approx(2.0)
-    half_life_s = choice.REPORT_HALF_LIFE_S
+    half_life_s = loadbalancing.REPORT_HALF_LIFE_S
     assert tracker.load(endpoint, half_life_s) == pytest.approx(1.0)
-    tracker.forget(2 * choice.RECORD_TTL_S)
+    tracker.forget(2 * loadbalancing.RECORD_TTL_S)
     assert not tracker.reports
 
 
@@ -146,17 +147,19 @@
     count: int, randomness: random.Random
 ) -> None:
     endpoints = [routeload.endpoint(n) for n in range(count)]
-    tracker = choice.LoadBook()
-    remaining = {choice.key_of(endpoint) for endpoint in endpoints}
+    tracker = loadbalancing.LoadTracker()
+    remaining = {loadbalancing.target_key(endpoint) for endpoint in endpoints}
     excluded: set[str] = set()
     while remaining:
-        chosen = choice.choose(
+        chosen = loadbalancing.choose(
             endpoints, 'a', tracker, excluded, 0.0, randomness
         )
         assert chosen is not None
-        remaining.remove(choice.key_of(chosen))
-        excluded.add(choice.key_of(chosen))
+        remaining.remove(loadbalancing.target_key(chosen))
+        excluded.add(loadbalancing.target_key(chosen))
     assert (
-        choice.choose(endpoints, 'a', tracker, excluded, 0.0, randomness)
+        loadbalancing.choose(
+            endpoints, 'a', tracker, excluded, 0.0, randomness
+        )
         is None
     )
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -78,7 +78,7 @@
 
 
 SERVICE = [
-    ejection.Subject(f'h{n}/t', f'h{n}', 'b' if n >= 4 else 'a')
+    ejection.TargetId(f'h{n}/t', f'h{n}', 'b' if n >= 4 else 'a')
     for n in range(6)
 ]
 OTHERS = [one.key for one in SERVICE[1:]]
@@ -130,7 +130,7 @@
 def test_signal_of_an_outcome(
     outcome: calls.Outcome, signal: ejection.CallSignal
 ) -> None:
-    assert ejection.verdict_of(outcome) is signal
+    assert ejection.classify(outcome) is signal
 
 
 def test_none_is_ejected_where_all_fail_alike() -> None:
@@ -169,13 +169,13 @@
         while ejector.excluded(SERVICE, now):
             now += 0.01
         pauses_s.append(now - ejected_at)
-        ejector.trying(target.key, now)
+        ejector.note_attempt(target.key, now)
         assert ejector.excluded(SERVICE, now) == {target.key}
         ejector.note(target, LOST, OTHERS, now + 0.001)
         now += 0.001
     assert all(a < b for a, b in zip(pauses_s, pauses_s[1:], strict=False))
     now += 100.0
-    ejector.trying(target.key, now)
+    ejector.note_attempt(target.key, now)
     ejector.note(target, GOOD, OTHERS, now)
     assert ejector.excluded(SERVICE, now) == set()
 
@@ -184,7 +184,7 @@
     ejector = ejection.Ejector('a', random.Random(1))
     for _ in range(3):
         ejector.note(SERVICE[0], LOST, OTHERS, 0.0)
-    ejector.trying(SERVICE[0].key, 2.0)
+    ejector.note_attempt(SERVICE[0].key, 2.0)
     assert ejector.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S - 0.1)
     assert not ejector.excluded(SERVICE, 2.0 + ejection.TRIAL_TIMEOUT_S + 0.1)
 
--- a/testing/test_fairness.py
+++ b/testing/test_fairness.py
@@ -102,11 +102,11 @@
     gate = admission.Gate(1, 8, random.Random(1))
     if standing_queue:
         for _ in range(2):
-            gate.arrive(fairness.Ticket('a', '', gateload.LONG, 0.0, 9.0), 0.0)
+            gate.submit(fairness.Ticket('a', '', gateload.LONG, 0.0, 9.0), 0.0)
     running: tuple[fairness.Ticket, ...] = ()
     for number in range(9000):
         ticket = fairness.Ticket(str(number), 'k', gateload.SHORT, 0.0, 9.0)
-        running = gate.arrive(ticket, 0.0).started or running
+        running = gate.submit(ticket, 0.0).started or running
         if running:
             running = gate.finish(running[0], 0.0).started
     assert len(gate.shares.served) <= fairness.MAX_CALLERS
--- a/testing/test_peer_contract.py
+++ b/testing/test_peer_contract.py
@@ -10,7 +10,7 @@
 import pytest
 
 from peridotpost.calls import frames
-from peridotpost.decisions import choice
+from peridotpost.decisions import loadbalancing
 from peridotpost.model import calls
 from peridotpost.model import members
 from testing import callpath
@@ -360,5 +360,5 @@
             )
             await fast.ask('read')
         (endpoint,) = front.replica.table.routes['read'].endpoints
-        report = front.router.book.reports[choice.key_of(endpoint)]
+        report = front.router.book.reports[loadbalancing.target_key(endpoint)]
         assert report.load == pytest.approx(1 / 4)
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -279,7 +279,7 @@
         directory = observer.proxy.directory
         await conditions.until(
             lambda: any(
-                one.told_failures.share >= guard.FAILING_SHARE
+                one.reported_failures.rate >= guard.FAILING_SHARE
                 for one in directory.candidates('register')
             )
         )
@@ -326,4 +326,4 @@
         for number in range(8):
             await first.ask('/write/shed', method='POST', attempt=f'w{number}')
         for host in (first, second):
-            assert host.proxy.guard.failures.share == 0.0
+            assert host.proxy.guard.failures.rate == 0.0
--- a/testing/test_retry.py
+++ b/testing/test_retry.py
@@ -67,7 +67,7 @@
 ) -> None:
     combined: calls.Outcome | None = None
     for outcome in outcomes:
-        combined = retry.final_of(combined, outcome)
+        combined = retry.combined_outcome(combined, outcome)
     assert combined is expected
 
 
--- a/testing/test_returning.py
+++ b/testing/test_returning.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from peridotpost.decisions import returning
+from peridotpost.decisions import refusedrequests
 from peridotpost.decisions import split
 from peridotpost.model import mesh
 from testing import conditions
@@ -15,8 +15,8 @@
 SHARES = (mesh.Share('stable', 75), mesh.Share('trial', 25))
 
 
-def make_attempt(until: float = 2.0) -> returning.FirstAttempt:
-    return returning.FirstAttempt('issue', 'stable', 1.0, until)
+def make_attempt(until: float = 2.0) -> refusedrequests.FirstAttempt:
+    return refusedrequests.FirstAttempt('issue', 'stable', 1.0, until)
 
 
 @pytest.mark.parametrize(
@@ -33,25 +33,25 @@
 def test_a_request_is_known_when_it_comes_again(
     fingerprint: str, route: str, now: float, known: bool
 ) -> None:
-    refused = returning.RefusedRequests()
+    refused = refusedrequests.RefusedRequests()
     refused.refused('f', make_attempt())
-    assert (refused.came(fingerprint, route, now) is not None) is known
+    assert (refused.take(fingerprint, route, now) is not None) is known
 
 
 def test_a_memory_serves_once() -> None:
-    refused = returning.RefusedRequests()
+    refused = refusedrequests.RefusedRequests()
     refused.refused('f', make_attempt())
-    assert refused.came('f', 'issue', 1.1) == make_attempt()
-    assert refused.came('f', 'issue', 1.2) is None
+    assert refused.take('f', 'issue', 1.1) == make_attempt()
+    assert refused.take('f', 'issue', 1.2) is None
 
 
 def test_the_memory_is_bounded() -> None:
-    refused = returning.RefusedRequests()
-    for number in range(returning.MAX_REMEMBERED + 10):
+    refused = refusedrequests.RefusedRequests()
+    for number in range(refusedrequests.MAX_REMEMBERED + 10):
         refused.refused(f'f{number}', make_attempt())
-    assert len(refused.held) == returning.MAX_REMEMBERED
-    assert refused.came('f9', 'issue', 1.1) is None
-    assert refused.came('f10', 'issue', 1.1) is not None
+    assert len(refused.by_fingerprint) == refusedrequests.MAX_REMEMBERED
+    assert refused.take('f9', 'issue', 1.1) is None
+    assert refused.take('f10', 'issue', 1.1) is not None
 
 
 class SplitUnderLoad:
@@ -64,7 +64,7 @@
         self.remembering = remembering
         self.random_source = random.Random(3)
         self.splitter = split.Splitter()
-        self.refused = returning.RefusedRequests()
+        self.refused = refusedrequests.RefusedRequests()
         self.waiting: collections.deque[str] = collections.deque()
         self.served: collections.Counter[str] = collections.Counter()
 
@@ -83,14 +83,14 @@
         return self.served['trial'] / self.served.total()
 
     def ask(self, name: str) -> str:
-        known = self.refused.came(name, 'issue', 0.0)
+        known = self.refused.take(name, 'issue', 0.0)
         if self.remembering and known is not None:
             return known.service
         return self.splitter.pick('issue', SHARES)
 
     def refuse(self, name: str, service: str) -> None:
         self.waiting.append(name)
-        attempt = returning.FirstAttempt('issue', service, 0.0, 1.0)
+        attempt = refusedrequests.FirstAttempt('issue', service, 0.0, 1.0)
         self.refused.refused(name, attempt)
 
 
@@ -143,7 +143,7 @@
         await running_mesh.ready()
         assert (await host.ask('/read/hold', attempt='a1')).status == 503
         (first_attempt,) = (
-            host.proxy.forwarder.recognition.refused.held.values()
+            host.proxy.forwarder.recognition.refused.by_fingerprint.values()
         )
         await host.announce()
         await running_mesh.ready()
--- a/testing/test_selection.py
+++ b/testing/test_selection.py
@@ -228,9 +228,9 @@
 
 def test_a_replaced_target_starts_without_measurements() -> None:
     candidate = target('a')
-    candidate.stands('register', 'i-1', 4, True)
+    candidate.update_state('register', 'i-1', 4, True)
     for _ in range(10):
         candidate.note(True, 0.0)
-    candidate.stands('register', 'i-2', 4, True)
+    candidate.update_state('register', 'i-2', 4, True)
     assert not candidate.failure_rate(0.0)
     assert not candidate.run_by_route
--- a/testing/test_slots.py
+++ b/testing/test_slots.py
@@ -13,9 +13,9 @@
 def test_lower_ranks_are_served_first(randomness: random.Random) -> None:
     queue = slots.SlotQueue(1, randomness)
     first = orders.order(0)
-    queue.arrive(first, 0.0)
+    queue.submit(first, 0.0)
     for number, rank in enumerate([2, 0, 1, -1], start=1):
-        queue.arrive(orders.order(number, rank=rank, last=True), 0.0)
+        queue.submit(orders.order(number, rank=rank, last=True), 0.0)
     served = []
     running = first
     for turn in range(4):
@@ -40,9 +40,9 @@
 ) -> None:
     queue = slots.SlotQueue(2, randomness)
     for number in range(2 + waiting):
-        queue.arrive(orders.order(number, deadline_s=60, last=True), 0.0)
+        queue.submit(orders.order(number, deadline_s=60, last=True), 0.0)
     order = orders.order(99, last=last)
-    refused = queue.arrive(order, 0.0).refused
+    refused = queue.submit(order, 0.0).refused
     assert (refused == []) is queued
 
 
@@ -51,9 +51,9 @@
 ) -> None:
     queue = slots.SlotQueue(1, randomness)
     first = orders.order(0)
-    queue.arrive(first, 0.0)
+    queue.submit(first, 0.0)
     late = orders.order(1, deadline_s=0.3, last=True)
-    queue.arrive(late, 0.0)
+    queue.submit(late, 0.0)
     decision = queue.finish(first, 0.29)
     assert decision.refused == [late]
     assert decision.started == []
@@ -62,9 +62,9 @@
 def test_retry_times_are_spread(randomness: random.Random) -> None:
     queue = slots.SlotQueue(1, randomness)
     for number in range(20):
-        queue.arrive(orders.order(number, deadline_s=60, last=True), 0.0)
+        queue.submit(orders.order(number, deadline_s=60, last=True), 0.0)
     order = orders.order(99, deadline_s=60, last=True)
-    delays_s = [queue.return_s(order, 0.0) for _ in range(50)]
+    delays_s = [queue.retry_after_s(order, 0.0) for _ in range(50)]
     expected_s = queue.expected_wait_s(order, 0.0)
     assert len(set(delays_s)) > 40
     assert min(delays_s) >= expected_s
@@ -107,23 +107,23 @@
         rank = source.choice([0, 1, 1, 2, 2, 2])
         result.requests[rank] += 1
         order = orders.order(number, now, rank=rank, objective_s=0.25)
-        schedule_ends(queue.arrive(order, now).started)
+        schedule_ends(queue.submit(order, now).started)
     return result
 
 
 class Fifo(slots.SlotQueue):
     """Baseline: first come, first served, without ranks and refusals."""
 
-    def arrive(self, order: forwarding.Order, now: float) -> slots.Verdict:
+    def submit(self, order: forwarding.Order, now: float) -> slots.Decision:
         self.fifo = [*getattr(self, 'fifo', []), order]
         return self.fill(now)
 
-    def fill(self, now: float) -> slots.Verdict:
+    def fill(self, now: float) -> slots.Decision:
         started = []
         while self.fifo and self.running < self.slots:
             started.append(self.fifo.pop(0))
             self.running += 1
-        return slots.Verdict(started, [])
+        return slots.Decision(started, [])
 
 
 def test_urgent_requests_are_served_at_twice_the_load() -> None:
@@ -147,13 +147,13 @@
     """
     queue = slots.SlotQueue(1, randomness)
     first = orders.order(0)
-    queue.arrive(first, 0.0)
+    queue.submit(first, 0.0)
     for number in range(1, 9):
-        queue.arrive(orders.order(number, last=True), 0.0)
+        queue.submit(orders.order(number, last=True), 0.0)
     assert sum(entry.late for entry in queue.waiting) == 1
     (second,) = queue.finish(first, 0.06).started
     new = orders.order(99, now=0.07)
-    assert queue.arrive(new, 0.07) == slots.Verdict([], [])
+    assert queue.submit(new, 0.07) == slots.Decision([], [])
     started = [second]
     now = 0.07
     while new not in started:
--- a/testing/test_slots_mixed.py
+++ b/testing/test_slots_mixed.py
@@ -120,7 +120,7 @@
         order = order_of(stream, arrival.number, now)
         if self.recognized:
             order.objective = arrival.first_at + stream.objective_s
-        decision = self.queue.arrive(order, now)
+        decision = self.queue.submit(order, now)
         self._start(decision.started, now)
         self._refuse(decision.refused, now)
 
@@ -128,7 +128,7 @@
         for order in refused:
             attempt = self.arrival_of[order.number]
             if self.retries and attempt.at == attempt.first_at:
-                at = now + self.queue.return_s(order, now)
+                at = now + self.queue.retry_after_s(order, now)
                 self._schedule(Arrival(at, 0, attempt.route, attempt.first_at))
 
     def _arrival_times(self, per_s: float) -> list[float]:
@@ -238,13 +238,13 @@
     queue = slots.SlotQueue(4, randomness)
     running = [order_of(CALLS, number, 0.0) for number in range(4)]
     for order in running:
-        queue.arrive(order, 0.0)
+        queue.submit(order, 0.0)
     slow = dataclasses.replace(SHEETS, objective_s=0.01)
     first = order_of(slow, 10, 0.0)
-    assert queue.arrive(first, 0.0) == slots.Verdict([], [])
-    assert queue.arrive(order_of(slow, 11, 0.0), 0.0).refused
+    assert queue.submit(first, 0.0) == slots.Decision([], [])
+    assert queue.submit(order_of(slow, 11, 0.0), 0.0).refused
     call = order_of(dataclasses.replace(CALLS, objective_s=0.01), 12, 0.0)
-    assert queue.arrive(call, 0.0) == slots.Verdict([], [])
+    assert queue.submit(call, 0.0) == slots.Decision([], [])
     assert queue.finish(running[0], 0.03).started == [call]
 
 
@@ -320,12 +320,12 @@
     queue = queue_of(slots.SlotQueue)
     sheets = [order_of(SHEETS, number, 0.0) for number in range(13)]
     for order in sheets[:12]:
-        queue.arrive(order, 0.0)
+        queue.submit(order, 0.0)
     queue.finish(sheets[0], 0.3)
-    queue.arrive(sheets[12], 0.3)
+    queue.submit(sheets[12], 0.3)
     call = order_of(CALLS, 20, 0.3)
     call.last = False
-    assert queue.arrive(call, 0.3).refused == []
+    assert queue.submit(call, 0.3).refused == []
 
 
 def test_estimate_for_a_new_route_does_not_shrink_with_retries() -> None:
@@ -337,11 +337,11 @@
     """
     queue = queue_of(slots.SlotQueue, 12)
     for number in range(12):
-        queue.arrive(order_of(SHEETS, number, 0.0), 0.0)
+        queue.submit(order_of(SHEETS, number, 0.0), 0.0)
     late = order_of(SHEETS, 12, 0.0)
     late.objective = 0.01
     late.deadline = 0.1
-    assert queue.arrive(late, 0.0).refused == [late]
+    assert queue.submit(late, 0.0).refused == [late]
     estimate_s = runtimes.INITIAL_RUN_SHARE * SHEETS.objective_s
     assert queue.times.expected_s(late.route) == pytest.approx(estimate_s)
 
