--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -69,13 +69,13 @@
     }
     for name, interest in scopes.items():
         held = base.scoped(interest)
-        full_update = version_rules.difference(
+        full_update = version_rules.make_update(
             config.NO_CONFIG, version_rules.Holding(held, interest)
         )
         deltas = []
         for number in range(len(base.services)):
             after = fleets.changed_version(base, number).scoped(interest)
-            update = version_rules.difference(
+            update = version_rules.make_update(
                 held, version_rules.Holding(after, interest)
             )
             deltas.append(wire.update_to_wire(update).ByteSize())
@@ -189,7 +189,7 @@
 def _compute_tree_position(replica: replicas.Replica, is_relay: bool) -> None:
     """Recompute the tree position, as a daemon does on a fleet change."""
     hosts = replica.fleet.live_hosts('zone-00')
-    tree.place_of(replica.host, 'zone-00', hosts)
+    tree.position_of(replica.host, 'zone-00', hosts)
     if not is_relay:
         return
     for zone in replica.fleet.zones():
@@ -300,7 +300,7 @@
     new_holding = version_rules.Holding(
         after.scoped(LEAF_INTEREST), LEAF_INTEREST
     )
-    update = version_rules.difference(held, new_holding)
+    update = version_rules.make_update(held, new_holding)
     uncached_version = fleets.make_version()
     return {
         'relay_read_text': min_cpu_ms(
@@ -313,7 +313,7 @@
             lambda: _recompute_digest(uncached_version.services.values())
         ),
         'scope_and_difference': min_cpu_ms(
-            lambda: version_rules.difference(
+            lambda: version_rules.make_update(
                 held,
                 version_rules.Holding(
                     after.scoped(LEAF_INTEREST), LEAF_INTEREST
@@ -321,7 +321,7 @@
             )
         ),
         'leaf_judge': min_cpu_ms(
-            lambda: version_rules.judge(holding, LEAF_INTEREST, update)
+            lambda: version_rules.apply_update(holding, LEAF_INTEREST, update)
         ),
     }
 
--- a/bench/watcher.py
+++ b/bench/watcher.py
@@ -51,7 +51,7 @@
                 platform, mesh, replica, counts, random.Random()
             )
             async with sources.following(source):
-                source.follow_place(tree.Place(True, True, ()))
+                source.follow_place(tree.TreePosition(True, True, ()))
                 await stop.wait()
     return common.EXIT_OK
 
--- a/src/peridotpost/admin/handlers.py
+++ b/src/peridotpost/admin/handlers.py
@@ -56,7 +56,7 @@
     def get(self) -> None:
         counts = self.kernel.find('counters', counters.Counters)
         clock = self.kernel.find('timers', timers.TimerService)
-        local_member = self.kernel.find('myself', myself.Myself)
+        local_member = self.kernel.find('myself', myself.LocalMember)
         self.reply(
             models.CountersPage(
                 host=local_member.record.host,
@@ -121,7 +121,7 @@
             slots=announcement.slots,
             connections=announcement.connections,
             state=members.TargetState[announcement.state.upper()],
-            good_until=clock.now() + targets.ttl_s,
+            expires_at=clock.now() + targets.ttl_s,
         )
         try:
             targets.announce(target)
@@ -143,7 +143,7 @@
 
 def daemon_status(kernel: registry.Kernel) -> models.DaemonStatus:
     """Return the daemon's status."""
-    local_member = kernel.find('myself', myself.Myself)
+    local_member = kernel.find('myself', myself.LocalMember)
     replica = kernel.find('replica', replicas.Replica)
     uplink_set = kernel.find('uplinks', uplinks.Uplinks)
     source = kernel.find('source', sources.Source)
--- a/src/peridotpost/admin/rollout.py
+++ b/src/peridotpost/admin/rollout.py
@@ -17,7 +17,7 @@
 def rollout_page(kernel: registry.Kernel) -> models.RolloutPage:
     """Return the progress of the daemon and of all that report to it."""
     replica = kernel.find('replica', replicas.Replica)
-    local_member = kernel.find('myself', myself.Myself)
+    local_member = kernel.find('myself', myself.LocalMember)
     reported = kernel.find('links', links.LinkTable).progress
     zone = local_member.record.availability_zone
     live = replica.fleet.live_hosts(zone)
--- a/src/peridotpost/calls/guard.py
+++ b/src/peridotpost/calls/guard.py
@@ -87,7 +87,7 @@
         if refusal is not None:
             return self._report_refusal(call, refusal)
         spec = self.replica.version.services[call.service]
-        target = self.targets.found[(call.service, name)]
+        target = self.targets.by_name[(call.service, name)]
         gate = self.gates.for_target(target, spec)
         ticket = gates.ticket_for(call, spec, began)
         if not await self.gates.acquire_slot(gate, ticket):
@@ -109,7 +109,7 @@
             return calls.NotRun(
                 calls.NotRunReason.DRAINING, 'the host is leaving', 100
             )
-        refused_s = self.poison.refused_for_s(call, self.clock.now())
+        refused_s = self.poison.refusal_remaining_s(call, self.clock.now())
         if refused_s > 0:
             return calls.NotRun(
                 calls.NotRunReason.POISON,
@@ -121,7 +121,7 @@
                 calls.NotRunReason.NO_SERVICE,
                 f'{call.service!r} is not in the configuration here',
             )
-        target = self.targets.found.get((call.service, name))
+        target = self.targets.by_name.get((call.service, name))
         if target is None:
             return calls.NotRun(
                 calls.NotRunReason.NO_TARGET,
@@ -247,9 +247,9 @@
 
     def discard_gone(self) -> None:
         """Discard the state of targets that no longer exist."""
-        self.gates.discard_gone(self.targets.found)
+        self.gates.discard_gone(self.targets.by_name)
         for key in tuple(self.last_crash_at):
-            if key not in self.targets.found:
+            if key not in self.targets.by_name:
                 del self.last_crash_at[key]
 
     def _unknown(self, detail: str) -> calls.OutcomeUnknown:
--- a/src/peridotpost/calls/ingress.py
+++ b/src/peridotpost/calls/ingress.py
@@ -66,7 +66,7 @@
         self,
         replica: replicas.Replica,
         router: routers.Router,
-        myself: own.Myself,
+        myself: own.LocalMember,
         targets: local.LocalTargets,
         events: timeline.Timeline,
         counts: counters.Counters,
--- a/src/peridotpost/calls/owner.py
+++ b/src/peridotpost/calls/owner.py
@@ -42,7 +42,7 @@
         dispatch: DispatchCall,
         streams: peers.PeerStreams,
         keeper: views.ScheduleKeeper,
-        myself: own.Myself,
+        myself: own.LocalMember,
         events: timeline.Timeline,
         counts: counters.Counters,
         randomness: random.Random,
--- a/src/peridotpost/calls/router.py
+++ b/src/peridotpost/calls/router.py
@@ -75,7 +75,9 @@
 
         :param first_attempt: dispatch numbers start above this one.
         """
-        refused_s = self.guard.poison.refused_for_s(call, self.clock.now())
+        refused_s = self.guard.poison.refusal_remaining_s(
+            call, self.clock.now()
+        )
         if refused_s > 0:
             return self._poison_refusal(refused_s)
         if first_attempt:
@@ -100,7 +102,10 @@
                 outcome, call.idempotent, len(tried), left_ms
             ):
                 return best
-            if self.guard.poison.refused_for_s(call, self.clock.now()) > 0:
+            if (
+                self.guard.poison.refusal_remaining_s(call, self.clock.now())
+                > 0
+            ):
                 return best
             if not self._has_untried_target(call, tried) or not budget.spend():
                 return best
--- a/src/peridotpost/cli/subcommands/rollout.py
+++ b/src/peridotpost/cli/subcommands/rollout.py
@@ -43,7 +43,7 @@
         deadline = time.monotonic() + within_s
         while True:
             zones = await _fetch_zones(daemons)
-            in_force = all(zone.has(wait_revision) for zone in zones)
+            in_force = all(zone.is_in_force(wait_revision) for zone in zones)
             if in_force or not wait_revision or time.monotonic() > deadline:
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -73,7 +73,7 @@
     )
     replies = await operator.ask_all(addresses, PAGE, models.RolloutPage)
     reports = [
-        rules.RelayWord(
+        rules.RelayReport(
             reply.page.availability_zone,
             reply.page.lowest_revision,
             reply.page.daemons,
@@ -83,7 +83,7 @@
         if isinstance(reply.page, models.RolloutPage)
     ]
     return [
-        rules.of_zone(zone.availability_zone, zone.live, reports)
+        rules.combine_reports(zone.availability_zone, zone.live, reports)
         for zone in page.zones
     ]
 
--- a/src/peridotpost/daemon/calls.py
+++ b/src/peridotpost/daemon/calls.py
@@ -71,7 +71,9 @@
                 kernel, settings.address, settings.listen.admin_port
             )
         )
-        kernel.find('myself', myself.Myself).set_ports(call_port, admin_port)
+        kernel.find('myself', myself.LocalMember).set_ports(
+            call_port, admin_port
+        )
         yield
 
 
@@ -81,7 +83,7 @@
     settings = kernel.find('settings', settings_border.DaemonSettings)
     counts = kernel.find('counters', counters.Counters)
     targets = local_targets.LocalTargets(
-        kernel.find('myself', myself.Myself),
+        kernel.find('myself', myself.LocalMember),
         settings.timing.target_ttl_s,
         counts,
     )
@@ -163,7 +165,7 @@
         router.carry,
         streams,
         keeper,
-        kernel.find('myself', myself.Myself),
+        kernel.find('myself', myself.LocalMember),
         kernel.find('timeline', timeline.Timeline),
         counts,
         rng,
@@ -199,7 +201,7 @@
     return ingresses.Ingress(
         kernel.find('replica', replicas.Replica),
         router,
-        kernel.find('myself', myself.Myself),
+        kernel.find('myself', myself.LocalMember),
         kernel.find('targets', local_targets.LocalTargets),
         kernel.find('timeline', timeline.Timeline),
         kernel.find('counters', counters.Counters),
--- a/src/peridotpost/daemon/control.py
+++ b/src/peridotpost/daemon/control.py
@@ -69,7 +69,7 @@
             call_port=0,
             admin_port=0,
         )
-        kernel.register('myself', myself.Myself(record))
+        kernel.register('myself', myself.LocalMember(record))
         _add_sources(kernel)
         yield
 
--- a/src/peridotpost/daemon/discovery.py
+++ b/src/peridotpost/daemon/discovery.py
@@ -26,7 +26,7 @@
         self.zone = settings.availability_zone
         self.rng = kernel.find('randomness', random.Random)
         self.replica = kernel.find('replica', replicas.Replica)
-        self.local_member = kernel.find('myself', myself.Myself)
+        self.local_member = kernel.find('myself', myself.LocalMember)
         self.keeper = kernel.find('seeds', seeds.SeedKeeper)
         self.reconciler = kernel.find('reconciler', reconcile.Reconciler)
         self.renewals = 0
@@ -37,7 +37,7 @@
         When a whole fleet starts at once, the first read finds no bootstrap
         record, because no daemon has written one yet.
         """
-        backoff = pacing.Backoff(self.rng, base_s=BASE_DELAY_S)
+        backoff = pacing.Backoff(self.rng, base_delay_s=BASE_DELAY_S)
         for _ in range(MAX_ATTEMPTS):
             await self.maintain_seed()
             if len(self.replica.fleet.records) > 1:
@@ -49,7 +49,7 @@
         hosts = self.replica.fleet.live_hosts(self.zone)
         due = await self.keeper.tick(self.local_member.record, hosts)
         is_alone = len(hosts) <= 1
-        if is_alone or (due and seed_rules.looks_for_others(self.renewals)):
+        if is_alone or (due and seed_rules.should_read_all(self.renewals)):
             await self._query_unknown_members()
         self.renewals += due
 
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -46,7 +46,7 @@
         _subscribe_timers(kernel, finder)
         await finder.discover_members()
         await _follow_schedule(kernel)
-        local_member = kernel.find('myself', myself.Myself)
+        local_member = kernel.find('myself', myself.LocalMember)
         local_member.stage = myself.Stage.READY
         logs.state_changed(
             'stage',
@@ -61,7 +61,7 @@
     """Subscribe the services to each other's changes."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
-    local_member = kernel.find('myself', myself.Myself)
+    local_member = kernel.find('myself', myself.LocalMember)
     prober = kernel.find('prober', probing.Prober)
     targets = kernel.find('targets', local_targets.LocalTargets)
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
@@ -89,7 +89,7 @@
     replica.offer_member(local_member.record, '')
     local_member.changed.subscribe(on_own_record_changed)
     replica.changed.subscribe(on_fact_changed)
-    prober.paused.append(reconcile_after_pause)
+    prober.pause_listeners.append(reconcile_after_pause)
 
 
 async def _read_initial_state(kernel: registry.Kernel) -> None:
@@ -103,7 +103,9 @@
     source = kernel.find('source', sources.Source)
     uplink_set = kernel.find('uplinks', uplinks.Uplinks)
     keeper = kernel.find('seeds', seeds.SeedKeeper)
-    own_address = kernel.find('myself', myself.Myself).record.control_address
+    own_address = kernel.find(
+        'myself', myself.LocalMember
+    ).record.control_address
     pacing = seed_rules.StartPacing(rng, settings.timing.start_spread_s)
     await asyncio.sleep(pacing.first_delay())
     while True:
@@ -136,14 +138,14 @@
 ) -> bool:
     """Ask peers in small groups until enough of them have a version."""
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
-    group_size = version_rules.FIRST_READ_PEERS
+    group_size = version_rules.MIN_STARTUP_PEERS
     with_version = 0
     for start in range(0, max(1, len(addresses)), group_size):
         group = addresses[start : start + group_size]
         revisions = await asyncio.gather(*map(reconciler.ask, group))
         with_version += sum(bool(revision) for revision in revisions)
         asked = start + len(group)
-        if version_rules.heard_enough(
+        if version_rules.heard_from_enough_peers(
             store_read, with_version, asked, len(addresses)
         ):
             return True
@@ -176,7 +178,7 @@
     clock.subscribe('seeds', timing.seed_period_s, finder.maintain_seed)
     clock.subscribe(
         'target-expiry',
-        timing.target_ttl_s / local_targets.EXPIRY_CHECKS,
+        timing.target_ttl_s / local_targets.EXPIRY_CHECKS_PER_TTL,
         expire_targets,
     )
     clock.subscribe('forget', FORGET_INTERVAL_S, forget_departed)
--- a/src/peridotpost/daemon/leaving.py
+++ b/src/peridotpost/daemon/leaving.py
@@ -22,7 +22,7 @@
     """Announce the leave, drain the requests and hand over the ledger."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     logs.state_changed('stage', host=settings.host, to='leaving')
-    kernel.find('myself', myself.Myself).leave()
+    kernel.find('myself', myself.LocalMember).leave()
     await asyncio.sleep(LEAVE_PROPAGATION_S)
     kernel.find('guard', guards.Guard).leaving = True
     owner = kernel.find('owner', owners.Owner)
--- a/src/peridotpost/decisions/following.py
+++ b/src/peridotpost/decisions/following.py
@@ -26,16 +26,16 @@
 import dataclasses
 
 SLOW_LINK_MBPS = 20.0
-HEARD_S = 2.0
+FOLLOWER_TIMEOUT_S = 2.0
 """Longer than two heartbeats, so that two may be lost."""
-BEAT_S = 0.8
-READ_EVERY_S = 2.0
+HEARTBEAT_S = 0.8
+MIN_READ_INTERVAL_S = 2.0
 PEER_READ_WAIT_S = 0.9
 """Longer than a heartbeat, at which each daemon checks whether to read."""
 
 
 @dataclasses.dataclass(slots=True)
-class Following:
+class StoreReadPolicy:
     """Decides for one daemon when it reads the store.
 
     :param start: when this daemon started; followers have
@@ -50,56 +50,66 @@
 
     link_mbps: float
     start: float
-    heard_by_host: dict[str, float] = dataclasses.field(default_factory=dict)
+    last_heard_by_host: dict[str, float] = dataclasses.field(
+        default_factory=dict
+    )
     read_at: float = 0.0
-    answers: bool | None = None
-    since: float = 0.0
-    others_read_at: float = -HEARD_S
+    store_reachable: bool | None = None
+    store_back_at: float = 0.0
+    peer_read_at: float = -FOLLOWER_TIMEOUT_S
 
     @property
     def slow(self) -> bool:
         return self.link_mbps < SLOW_LINK_MBPS
 
     @property
-    def follows(self) -> bool:
+    def follows_store(self) -> bool:
         """Whether this daemon is a follower: fast link, store reachable."""
-        return self.answers is True and not self.slow
+        return self.store_reachable is True and not self.slow
 
     def heard(self, host: str, now: float) -> bool:
         """Record the announcement of a follower.
 
         Returns whether it is the only follower known.
         """
-        first = not self.heard_by_host
-        self.heard_by_host[host] = now
+        first = not self.last_heard_by_host
+        self.last_heard_by_host[host] = now
         return first
 
     def lost(self, host: str) -> None:
         """Record that a host announced that it lost the store."""
-        if self.heard_by_host.pop(host, None) and not self.heard_by_host:
-            self.start = -HEARD_S
+        if (
+            self.last_heard_by_host.pop(host, None)
+            and not self.last_heard_by_host
+        ):
+            self.start = -FOLLOWER_TIMEOUT_S
 
-    def others_read(self, now: float) -> None:
+    def note_peer_read(self, now: float) -> None:
         """Record that another host with a slow link begins a read."""
-        self.others_read_at = now
+        self.peer_read_at = now
 
-    def store_answers(self, answers: bool, now: float) -> None:
+    def note_store_state(self, answers: bool, now: float) -> None:
         """Record whether the store answers this daemon."""
-        if answers and self.answers is False:
-            self.since = now
-        self.answers = answers
+        if answers and self.store_reachable is False:
+            self.store_back_at = now
+        self.store_reachable = answers
 
-    def reads_now(self, now: float) -> bool:
+    def should_read(self, now: float) -> bool:
         """Whether this daemon, on a slow link, should read the store now.
 
         True also records the read.
         """
-        if self.answers is False:
+        if self.store_reachable is False:
             return False
-        heard_at = max(self.start, self.since, *self.heard_by_host.values())
-        if now - heard_at < HEARD_S or now - self.read_at < READ_EVERY_S:
+        heard_at = max(
+            self.start, self.store_back_at, *self.last_heard_by_host.values()
+        )
+        if (
+            now - heard_at < FOLLOWER_TIMEOUT_S
+            or now - self.read_at < MIN_READ_INTERVAL_S
+        ):
             return False
-        if now - self.others_read_at < PEER_READ_WAIT_S:
+        if now - self.peer_read_at < PEER_READ_WAIT_S:
             return False
         self.read_at = now
         return True
--- a/src/peridotpost/decisions/incarnations.py
+++ b/src/peridotpost/decisions/incarnations.py
@@ -16,7 +16,7 @@
 """A host's target is replaced a few times an hour at most."""
 
 
-class InstanceLog:
+class InstanceTracker:
     """The state of this host's target, from its announcements."""
 
     def __init__(self) -> None:
--- a/src/peridotpost/decisions/logbudget.py
+++ b/src/peridotpost/decisions/logbudget.py
@@ -23,10 +23,10 @@
 SERVED_SAMPLE_INTERVAL_S = 1.0
 
 
-class Weight(enum.Enum):
+class LinePriority(enum.Enum):
     """Kinds of lines; the value is how full the bucket must be for one."""
 
-    ENDING = 0.0
+    OUTCOME = 0.0
     STEP = 0.5
 
 
@@ -38,7 +38,7 @@
         self.filled_at = 0.0
         self.next_served_at = 0.0
 
-    def takes(self, weight: Weight, now: float) -> bool:
+    def try_take(self, weight: LinePriority, now: float) -> bool:
         """Take a token for a line; return whether it may be written.
 
         :param now: seconds of a clock that may jump; a step back adds no
@@ -52,7 +52,7 @@
         self.tokens -= 1.0
         return True
 
-    def takes_served(self, now: float) -> bool:
+    def try_take_served(self, now: float) -> bool:
         """Whether this served request is logged as a sample.
 
         :param now: seconds of a monotonic clock.
--- a/src/peridotpost/decisions/observer.py
+++ b/src/peridotpost/decisions/observer.py
@@ -46,10 +46,12 @@
 
     def __init__(self, randomness: random.Random, suspicion_s: float) -> None:
         self.randomness = randomness
-        self.round = suspicion.ProbeRound(randomness)
+        self.probe_round = suspicion.ProbeRound(randomness)
         self.suspicions = suspicion.Suspicions(suspicion_s)
 
-    def subjects(self, candidates: Collection[str], now: float) -> list[str]:
+    def select_subjects(
+        self, candidates: Collection[str], now: float
+    ) -> list[str]:
         """Return the hosts to probe in this period, without duplicates.
 
         These are suspects whose suspicion expired, a sample of those that
@@ -57,17 +59,19 @@
         """
         expired = self.suspicions.expired(now)[: suspicion.MAX_FINAL_PROBES]
         found_silent = [
-            one for one in self.suspicions.own() if one not in expired
+            one
+            for one in self.suspicions.found_by_self()
+            if one not in expired
         ]
         count = min(len(found_silent), suspicion.MAX_REPROBES)
         reprobed = self.randomness.sample(found_silent, count)
         chosen = dict.fromkeys([*expired, *reprobed])
-        next_in_round = self.round.next_subject(candidates)
+        next_in_round = self.probe_round.next_subject(candidates)
         if next_in_round is not None:
             chosen[next_in_round] = None
         return list(chosen)
 
-    def judge(
+    def evaluate(
         self, record: members.MemberRecord, probe: ProbeResult, now: float
     ) -> Verdict:
         """Return the conclusion from a probe of `record`'s host."""
@@ -81,7 +85,7 @@
             # side, and suspects cannot reach this observer to refute.
             self.suspicions.restart(now)
             return Verdict.ISOLATED
-        expired = self.suspicions.due(record.host, now)
+        expired = self.suspicions.is_due(record.host, now)
         self.suspicions.record_silence(record, now)
         if record.status is members.Status.ALIVE:
             return Verdict.SUSPECTED
--- a/src/peridotpost/decisions/pacing.py
+++ b/src/peridotpost/decisions/pacing.py
@@ -14,8 +14,8 @@
 import dataclasses
 import random
 
-BASE_S = 0.1
-CAP_S = 5.0
+BASE_DELAY_S = 0.1
+MAX_DELAY_S = 5.0
 JOINS_PER_S = 40
 JOIN_BURST = 16
 MAX_RETRY_AFTER_S = 15.0
@@ -34,14 +34,14 @@
     """
 
     randomness: random.Random
-    base_s: float = BASE_S
-    max_delay_s: float = CAP_S
+    base_delay_s: float = BASE_DELAY_S
+    max_delay_s: float = MAX_DELAY_S
     failures: int = 0
 
     def next_delay(self) -> float:
         """Count a failure; return the seconds to wait before the next try."""
         bound = min(
-            self.max_delay_s, self.base_s * 2 ** min(self.failures, 16)
+            self.max_delay_s, self.base_delay_s * 2 ** min(self.failures, 16)
         )
         self.failures += 1
         return self.randomness.uniform(0, bound)
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class JoinLimit:
+class JoinLimiter:
     """Token bucket for new streams at a parent, with retry slots.
 
     A child that reconnects with its former state costs its parent under a
@@ -65,7 +65,7 @@
     of one token, again and again.
     """
 
-    now: float
+    updated_at: float
     rate: float = JOINS_PER_S
     burst: float = JOIN_BURST
     tokens: float = JOIN_BURST
@@ -73,9 +73,9 @@
 
     def admit(self, now: float) -> float:
         """Return 0 to admit, else the seconds after which to retry."""
-        refill = (now - self.now) * self.rate
+        refill = (now - self.updated_at) * self.rate
         self.tokens = min(self.burst, self.tokens + refill)
-        self.now = now
+        self.updated_at = now
         if self.tokens >= 1:
             self.tokens -= 1
             return 0.0
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ParentChoice:
+class ParentSelector:
     """Chooses which parent to dial next, and after which delay.
 
     A parent may be full, overloaded, dead or hung, and then all of its
@@ -109,7 +109,7 @@
     """
 
     randomness: random.Random
-    past: dict[str, PeerHistory] = dataclasses.field(default_factory=dict)
+    history: dict[str, PeerHistory] = dataclasses.field(default_factory=dict)
 
     def choose(
         self, candidates: Sequence[str], now: float
@@ -121,7 +121,7 @@
         peer = min(candidates, key=lambda one: self._history_of(one).retry_at)
         return peer, self._history_of(peer).retry_at - now
 
-    def ended(self, peer: str, now: float, lifetime_s: float) -> None:
+    def record_end(self, peer: str, now: float, lifetime_s: float) -> None:
         """Record that a dial failed or a stream ended."""
         history = self._history_of(peer)
         if lifetime_s >= STABLE_STREAM_S:
@@ -132,13 +132,13 @@
         jitter = self.randomness.uniform(1, 1.25)
         self._history_of(peer).retry_at = now + retry_after_s * jitter
 
-    def keep_only(self, candidates: Sequence[str]) -> None:
+    def retain(self, candidates: Sequence[str]) -> None:
         """Forget peers that are no longer candidates."""
-        for peer in set(self.past) - set(candidates):
-            del self.past[peer]
+        for peer in set(self.history) - set(candidates):
+            del self.history[peer]
 
     def _history_of(self, peer: str) -> PeerHistory:
-        found = self.past.get(peer)
+        found = self.history.get(peer)
         if found is None:
-            found = self.past[peer] = PeerHistory(Backoff(self.randomness))
+            found = self.history[peer] = PeerHistory(Backoff(self.randomness))
         return found
--- a/src/peridotpost/decisions/asking.py
+++ b/src/peridotpost/decisions/peerqueries.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Neighbour:
+class PeerCandidate:
     """A peer that can be asked for the member list.
 
     :param other_zone: it is in another availability zone.
@@ -34,13 +34,13 @@
     """
 
     host: str
-    far: bool
+    other_zone: bool
     asked: bool
 
 
-def to_ask(candidates: Sequence[Neighbour]) -> list[str]:
+def peers_to_ask(candidates: Sequence[PeerCandidate]) -> list[str]:
     """Return the hosts to ask now, in the order of `candidates`."""
-    same_zone = [one for one in candidates if not one.far]
+    same_zone = [one for one in candidates if not one.other_zone]
     pool, limit = (
         (same_zone, MAX_SAME_ZONE_PEERS)
         if same_zone
--- a/src/peridotpost/decisions/poison.py
+++ b/src/peridotpost/decisions/poison.py
@@ -113,22 +113,24 @@
         other reasons, and would otherwise be blamed for their crashes.
         """
         if self.suspects:
-            self.cleared(fingerprints(call))
+            self.clear(fingerprints(call))
 
-    def cleared(self, names: Iterable[str]) -> None:
+    def clear(self, names: Iterable[str]) -> None:
         """Clear the request with the identifiers `names`."""
         for name in names:
             self.suspects.pop(name, None)
 
-    def refused_for_s(self, call: calls.Call, now: float) -> float:
+    def refusal_remaining_s(self, call: calls.Call, now: float) -> float:
         """Return the seconds for which `call` is refused, 0 if it may run."""
         # Usually empty; hashing every call would cost more than the rest of
         # routing it.
         if not self.suspects:
             return 0.0
-        return self.names_refused_for_s(fingerprints(call), now)
+        return self.refusal_remaining_by_names_s(fingerprints(call), now)
 
-    def names_refused_for_s(self, names: Iterable[str], now: float) -> float:
+    def refusal_remaining_by_names_s(
+        self, names: Iterable[str], now: float
+    ) -> float:
         """Return the same for the request with the identifiers `names`."""
         longest = 0.0
         for name in names:
--- a/src/peridotpost/decisions/progress.py
+++ b/src/peridotpost/decisions/progress.py
@@ -30,7 +30,7 @@
     hosts_sum: int
 
 
-NOTHING_TOLD = Progress(0, 0, 0)
+NO_PROGRESS = Progress(0, 0, 0)
 
 
 def sum_of_hosts(hosts: Iterable[str]) -> int:
--- a/src/peridotpost/decisions/rollout.py
+++ b/src/peridotpost/decisions/rollout.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RelayWord:
+class RelayReport:
     """The report of one relay about itself and the daemons below it.
 
     :param covers_zone: these are exactly the live daemons of its zone, see
@@ -43,13 +43,13 @@
     lowest_revision: int
     covered: bool
 
-    def has(self, revision: int) -> bool:
+    def is_in_force(self, revision: int) -> bool:
         """Whether `revision` is known to be in force in the whole zone."""
         return self.covered and self.lowest_revision >= revision
 
 
-def of_zone(
-    availability_zone: str, live: int, reports: Iterable[RelayWord]
+def combine_reports(
+    availability_zone: str, live: int, reports: Iterable[RelayReport]
 ) -> ZoneRollout:
     """Return the most complete report about one availability zone."""
     zone_reports = [
@@ -58,7 +58,7 @@
     most_complete = max(
         zone_reports,
         key=lambda report: (report.covers_zone, report.daemons),
-        default=RelayWord(availability_zone, 0, 0, False),
+        default=RelayReport(availability_zone, 0, 0, False),
     )
     return ZoneRollout(
         availability_zone,
--- a/src/peridotpost/decisions/seeds.py
+++ b/src/peridotpost/decisions/seeds.py
@@ -59,7 +59,7 @@
         return self.randomness.uniform(0, spreads * self.spread_s)
 
 
-def looks_for_others(renewals: int) -> bool:
+def should_read_all(renewals: int) -> bool:
     """Whether a daemon that keeps a record should read all records now.
 
     :param renewals: how often it has renewed or written its own record.
@@ -67,7 +67,7 @@
     return renewals < INITIAL_READS or renewals % RENEWALS_PER_READ == 0
 
 
-def is_due(
+def should_keep_record(
     host: str, zone: str, known: Collection[str], stored: Collection[str]
 ) -> bool:
     """Whether `host` should keep a bootstrap record.
--- a/src/peridotpost/decisions/suspicion.py
+++ b/src/peridotpost/decisions/suspicion.py
@@ -116,10 +116,10 @@
     """
 
     incarnation: int
-    since: float
+    started_at: float
     silent_periods: int = 0
 
-    def lasts_s(self, suspicion_s: float) -> float:
+    def duration_s(self, suspicion_s: float) -> float:
         """Return the seconds after which the member may be declared dead."""
         if not self.silent_periods:
             return INDIRECT_SUSPICION_FACTOR * suspicion_s
@@ -156,26 +156,28 @@
         """Restart the suspicion: the host answers but has not refuted yet."""
         suspicion = self.running.get(host)
         if suspicion is not None:
-            suspicion.since = now
+            suspicion.started_at = now
             suspicion.silent_periods = 0
 
     def restart(self, now: float) -> None:
         """Restart the time of all suspicions."""
         for suspicion in self.running.values():
-            suspicion.since = now
+            suspicion.started_at = now
 
-    def due(self, host: str, now: float) -> bool:
+    def is_due(self, host: str, now: float) -> bool:
         suspicion = self.running.get(host)
         if suspicion is None:
             return False
-        return now - suspicion.since >= suspicion.lasts_s(self.suspicion_s)
+        return now - suspicion.started_at >= suspicion.duration_s(
+            self.suspicion_s
+        )
 
     def expired(self, now: float) -> list[str]:
         """Return the hosts whose suspicion has expired, oldest first."""
-        due = [host for host in self.running if self.due(host, now)]
-        return sorted(due, key=lambda host: self.running[host].since)
+        due = [host for host in self.running if self.is_due(host, now)]
+        return sorted(due, key=lambda host: self.running[host].started_at)
 
-    def own(self) -> list[str]:
+    def found_by_self(self) -> list[str]:
         """Return the suspects that this observer itself found silent."""
         return [
             host for host, one in self.running.items() if one.silent_periods
--- a/src/peridotpost/decisions/tables.py
+++ b/src/peridotpost/decisions/tables.py
@@ -20,7 +20,9 @@
     """Compiles stale routes when the table is next requested."""
 
     def __init__(self) -> None:
-        self.hosting: dict[str, dict[str, members.MemberRecord]] = {}
+        self.members_by_service: dict[
+            str, dict[str, members.MemberRecord]
+        ] = {}
         self.stale: set[str] = set()
         self.version = config.NO_CONFIG
         self.table = routing.EMPTY_TABLE
@@ -32,10 +34,12 @@
     ) -> None:
         """Replace `before`, the former record of a member, by `record`."""
         for service in _services(before):
-            self.hosting[service].pop(record.host, None)
+            self.members_by_service[service].pop(record.host, None)
             self.stale.add(service)
         for service in _services(record):
-            self.hosting.setdefault(service, {})[record.host] = record
+            self.members_by_service.setdefault(service, {})[record.host] = (
+                record
+            )
             self.stale.add(service)
 
     def current(self, version: config.ConfigVersion) -> routing.RoutingTable:
@@ -56,7 +60,7 @@
     def _route(self, name: str, spec: config.ServiceSpec) -> routing.Route:
         cached = self.table.routes.get(name)
         if cached is None or name in self.stale:
-            hosts = self.hosting.get(name, {})
+            hosts = self.members_by_service.get(name, {})
             return routing.route_over(spec, hosts.values())
         if cached.spec is spec:
             return cached
--- a/src/peridotpost/decisions/tree.py
+++ b/src/peridotpost/decisions/tree.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class TreePosition:
     """A daemon's position in the tree of its availability zone.
 
     :param has_children: it must hold the whole configuration.
@@ -57,23 +57,29 @@
     """
 
     relay: bool
-    parent_of_others: bool
+    has_children: bool
     parents: tuple[str, ...]
 
 
-def place_of(host: str, zone: str, zone_hosts: Iterable[str]) -> Place:
+def position_of(
+    host: str, zone: str, zone_hosts: Iterable[str]
+) -> TreePosition:
     """Compute the position of `host` among the live `zone_hosts`."""
     order = ranked(zone, {*zone_hosts, host})
     relays = order[:RELAYS_PER_ZONE]
     if host in relays:
-        return Place(True, True, ())
+        return TreePosition(True, True, ())
     below = len(order) - len(relays)
     intermediate = order[
         len(relays) : len(relays) + _intermediate_count(below)
     ]
     if not intermediate or host in intermediate:
-        return Place(False, host in intermediate, tuple(ranked(host, relays)))
-    return Place(False, False, tuple(ranked(host, intermediate) + relays))
+        return TreePosition(
+            False, host in intermediate, tuple(ranked(host, relays))
+        )
+    return TreePosition(
+        False, False, tuple(ranked(host, intermediate) + relays)
+    )
 
 
 def suspects_last(
--- a/src/peridotpost/decisions/versions.py
+++ b/src/peridotpost/decisions/versions.py
@@ -15,7 +15,7 @@
 
 from peridotpost.model import config
 
-FIRST_READ_PEERS = 3
+MIN_STARTUP_PEERS = 3
 """Peers whose versions a starting daemon compares if it cannot read the newest
 version from the store.  A peer is behind the fleet only for the second or so
 that a version takes to spread, or while it is cut off; three random peers
@@ -68,7 +68,7 @@
 
     @property
     def digest(self) -> bytes:
-        return seal(self.version, self.scope)
+        return scope_digest(self.version, self.scope)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
     holding: Holding
 
 
-NOTHING_HELD = Holding(config.NO_CONFIG, config.Interest())
+EMPTY_HOLDING = Holding(config.NO_CONFIG, config.Interest())
 
 
 def covers(mine: config.Interest, other: config.Interest) -> bool:
@@ -91,7 +91,9 @@
     return other.hosted <= mine.hosted
 
 
-def seal(version: config.ConfigVersion, scope: config.Interest) -> bytes:
+def scope_digest(
+    version: config.ConfigVersion, scope: config.Interest
+) -> bytes:
     """Return the digest of `version` cut to `scope`.
 
     It includes the scope itself, since two scopes may contain the same
@@ -102,7 +104,7 @@
     return hashlib.sha256(version.digest + plain).digest()
 
 
-def judge(
+def apply_update(
     held: Holding, wanted: config.Interest, update: ConfigUpdate
 ) -> UpdateResult:
     """Apply `update` to `held` completely or not at all.
@@ -130,10 +132,10 @@
         # give an incomplete version, so the daemon keeps its current one.
         verdict = Verdict.DAMAGED if update.whole else Verdict.NEED_WHOLE
         return UpdateResult(verdict, held)
-    return UpdateResult(Verdict.APPLIED, narrowed(candidate, wanted))
+    return UpdateResult(Verdict.APPLIED, narrow(candidate, wanted))
 
 
-def narrowed(holding: Holding, wanted: config.Interest) -> Holding:
+def narrow(holding: Holding, wanted: config.Interest) -> Holding:
     """Cut `holding` to `wanted` if it covers that scope."""
     if holding.scope == wanted or not covers(holding.scope, wanted):
         return holding
@@ -155,7 +157,7 @@
     )
 
 
-def difference(base: config.ConfigVersion, target: Holding) -> ConfigUpdate:
+def make_update(base: config.ConfigVersion, target: Holding) -> ConfigUpdate:
     """Return the update from `base` to `target`.
 
     Both are cut to the receiver's scope; for a base with revision 0 the
@@ -179,7 +181,7 @@
     )
 
 
-def heard_enough(
+def heard_from_enough_peers(
     store_read: bool, holding: int, asked: int, known: int
 ) -> bool:
     """Whether a starting daemon may serve the highest version it knows.
@@ -193,6 +195,6 @@
     :param asked: number of peers asked.
     :param known: number of peers known.
     """
-    if store_read or holding >= FIRST_READ_PEERS:
+    if store_read or holding >= MIN_STARTUP_PEERS:
         return True
     return holding > 0 and asked >= known
--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -118,7 +118,7 @@
         self.need_whole_due = False
         self.ping: Ping | None = None
         self.reported_progress: progress.Progress | None = None
-        self.subtree_progress = progress.NOTHING_TOLD
+        self.subtree_progress = progress.NO_PROGRESS
         self.heard = True
         self.missed_heartbeats = 0
         self.wake = asyncio.Event()
@@ -232,7 +232,7 @@
             base = config.NO_CONFIG
         self.peer_version = scoped
         target = versions.Holding(scoped, self.interest)
-        return wire.update_to_wire(versions.difference(base, target))
+        return wire.update_to_wire(versions.make_update(base, target))
 
     def take(self, frame: control_pb2.Frame) -> None:
         """Process one frame from the peer.
--- a/src/peridotpost/distribution/replica.py
+++ b/src/peridotpost/distribution/replica.py
@@ -45,7 +45,7 @@
         self.clock = clock
         self.events = events
         self.counts = counts
-        self.holding = versions.NOTHING_HELD
+        self.holding = versions.EMPTY_HOLDING
         self.fleet = fleet_rules.Fleet()
         self.tables = tables.TableCompiler()
         self.changed: hooks.Hook[FactChange] = hooks.Hook('fact.changed')
@@ -85,14 +85,14 @@
         if interest == self.interest:
             return
         self.interest = interest
-        self.holding = versions.narrowed(self.holding, interest)
+        self.holding = versions.narrow(self.holding, interest)
         self.interest_changed.fire(interest)
 
     def offer_config(
         self, update: versions.ConfigUpdate, source: str
     ) -> versions.Verdict:
         """Apply an update as ``decisions.versions`` decides."""
-        judgement = versions.judge(self.holding, self.interest, update)
+        judgement = versions.apply_update(self.holding, self.interest, update)
         self.counts.add(f'config.{judgement.verdict.value}')
         if judgement.verdict is versions.Verdict.APPLIED:
             self._replace_holding(judgement.holding, source)
@@ -104,7 +104,7 @@
         """Offer a complete version, such as one read from the store."""
         scoped = version.scoped(self.interest)
         target = versions.Holding(scoped, self.interest)
-        update = versions.difference(config.NO_CONFIG, target)
+        update = versions.make_update(config.NO_CONFIG, target)
         return self.offer_config(update, source)
 
     def offer_member(self, record: members.MemberRecord, source: str) -> bool:
--- a/src/peridotpost/distribution/server.py
+++ b/src/peridotpost/distribution/server.py
@@ -38,7 +38,7 @@
         self.replica = replica
         self.table = table
         self.counts = counts
-        self.join_limiter = pacing.JoinLimit(replica.clock.now())
+        self.join_limiter = pacing.JoinLimiter(replica.clock.now())
         self.children = 0
         self.closing = asyncio.Event()
 
@@ -83,7 +83,7 @@
     def _check_admission(self) -> control_pb2.Refusal | None:
         if self.children >= tree.MAX_CHILDREN:
             return control_pb2.Refusal(
-                reason='full', come_back_ms=int(pacing.CAP_S * 1000)
+                reason='full', come_back_ms=int(pacing.MAX_DELAY_S * 1000)
             )
         wait_s = self.join_limiter.admit(self.replica.clock.now())
         if wait_s:
@@ -132,7 +132,7 @@
             and target.digest != digest.config_digest
         )
         if newer_here and versions.covers(self.replica.scope, interest):
-            full_update = versions.difference(config.NO_CONFIG, target)
+            full_update = versions.make_update(config.NO_CONFIG, target)
             facts.config.CopyFrom(wire.update_to_wire(full_update))
         return facts
 
--- a/src/peridotpost/distribution/source.py
+++ b/src/peridotpost/distribution/source.py
@@ -51,9 +51,9 @@
         self.garbage = False
         self.last_rejection = ''
 
-    def follow_place(self, place: tree.Place) -> None:
+    def follow_place(self, place: tree.TreePosition) -> None:
         """Run the watch exactly while this daemon is a relay."""
-        if place.parent_of_others:
+        if place.has_children:
             # The full configuration is kept even after the position
             # changes: in a partitioned zone this daemon may be the only
             # one that has it, and its successor fetches it from here.
--- a/src/peridotpost/distribution/uplinks.py
+++ b/src/peridotpost/distribution/uplinks.py
@@ -67,14 +67,14 @@
         self.zone = zone
         self.randomness = randomness
         self.wanted: dict[str, Uplink] = {}
-        self.place = tree.Place(False, False, ())
+        self.place = tree.TreePosition(False, False, ())
         self.dial: dialling.Dial = dialling.dial
         self.ping: links.Ping | None = None
         self.closing = asyncio.Event()
         self.resolve_address: Callable[[str], str | None] = self._address_of
         self.bootstrap: tuple[str, ...] = ()
         self.replan_timer: asyncio.TimerHandle | None = None
-        self.on_place: list[Callable[[tree.Place], None]] = []
+        self.on_place: list[Callable[[tree.TreePosition], None]] = []
         replica.changed.subscribe(self._schedule_replan)
 
     def _schedule_replan(self, change: replicas.FactChange) -> None:
@@ -88,7 +88,7 @@
         self.replan_timer = None
         fleet = self.replica.fleet
         hosts = fleet.live_hosts(self.zone)
-        self.place = tree.place_of(self.replica.host, self.zone, hosts)
+        self.place = tree.position_of(self.replica.host, self.zone, hosts)
         desired = self._desired_uplinks(hosts)
         for name in [held for held in self.wanted if held not in desired]:
             self.wanted.pop(name).task.cancel()
@@ -154,7 +154,7 @@
         self._open(name, candidates)
 
     async def _maintain(self, name: str, candidates: tuple[str, ...]) -> None:
-        choice = pacing.ParentChoice(self.randomness)
+        choice = pacing.ParentSelector(self.randomness)
         clock = self.replica.clock
         while not tasks.cancelled():
             uplink = self.wanted.get(name)
@@ -163,7 +163,7 @@
             if not candidates:
                 await asyncio.sleep(REPLAN_DELAY_S)
                 continue
-            choice.keep_only(candidates)
+            choice.retain(candidates)
             peer, wait_s = choice.choose(candidates, clock.now())
             if wait_s:
                 await asyncio.sleep(wait_s)
@@ -174,7 +174,7 @@
             refusal = await self._try_peer(name, peer)
             now = clock.now()
             if refusal is None:
-                choice.ended(peer, now, now - started_at)
+                choice.record_end(peer, now, now - started_at)
             else:
                 choice.refused(peer, now, refusal.come_back_ms / 1000)
 
--- a/src/peridotpost/kernel/lines.py
+++ b/src/peridotpost/kernel/lines.py
@@ -47,15 +47,15 @@
 
     def request(self, decision: str, **fields: Any) -> None:
         """Log the decision on a request if the rate limit allows."""
-        if self.has_room(logbudget.Weight.ENDING):
+        if self.has_room(logbudget.LinePriority.OUTCOME):
             self.tell(decision, fields)
 
-    def has_room(self, weight: logbudget.Weight) -> bool:
+    def has_room(self, weight: logbudget.LinePriority) -> bool:
         """Take tokens for a line about a request.
 
         Returns False and counts the line as left out if there are too few.
         """
-        if self.budget.takes(weight, self.wall()):
+        if self.budget.try_take(weight, self.wall()):
             return True
         self.left_out += 1
         return False
@@ -65,7 +65,7 @@
 
         :param now: seconds of a monotonic clock.
         """
-        return self.budget.takes_served(now)
+        return self.budget.try_take_served(now)
 
     def tell(self, what: str, fields: dict[str, Any]) -> None:
         """Write a line; the caller has reserved it if it is rate-limited."""
--- a/src/peridotpost/membership/myself.py
+++ b/src/peridotpost/membership/myself.py
@@ -15,7 +15,7 @@
     LEAVING = 'leaving'
 
 
-class Myself:
+class LocalMember:
     """Holds the own record; fires `changed` on every change."""
 
     def __init__(self, record: members.MemberRecord) -> None:
--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -20,7 +20,7 @@
 PING = 1
 ACK = 2
 PING_REQUEST = 3
-RECEIVED = 4
+REQUEST_ACK = 4
 """A helper's confirmation that it was asked, independent of the subject's
 answer: it shows that the prober's own datagrams arrive."""
 NONCE_BITS = 64
@@ -33,7 +33,7 @@
 Address = tuple[str, int]
 
 
-class Records(Protocol):
+class MemberRecords(Protocol):
     """The part of the replica that probes need."""
 
     def record_of(self, host: str) -> members.MemberRecord | None: ...
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Expected:
+class PendingProbe:
     """A probe waiting for its answer.
 
     :param hosts_by_address: the only senders whose answers are accepted.
@@ -69,7 +69,7 @@
     def __init__(
         self,
         host: str,
-        fleet: Records,
+        fleet: MemberRecords,
         counts: counters.Counters,
         randomness: random.Random,
         timeout_s: float,
@@ -80,7 +80,7 @@
         self.randomness = randomness
         self.timeout_s = timeout_s
         self.transport: asyncio.DatagramTransport | None = None
-        self.waiting: dict[int, Expected] = {}
+        self.waiting: dict[int, PendingProbe] = {}
         self.relay_tasks: set[asyncio.Task[None]] = set()
 
     async def ping(self, record: members.MemberRecord) -> bool:
@@ -115,12 +115,12 @@
     @contextlib.contextmanager
     def _pending(
         self, subject: str, answerers: list[members.MemberRecord]
-    ) -> Iterator[tuple[int, Expected]]:
+    ) -> Iterator[tuple[int, PendingProbe]]:
         # With a guessable nonce a stray or late datagram could count as the
         # answer of a dead member.
         nonce = self.randomness.getrandbits(NONCE_BITS)
         answered = asyncio.get_running_loop().create_future()
-        expected = Expected(
+        expected = PendingProbe(
             subject,
             {(one.address, one.probe_port): one.host for one in answerers},
             answered,
@@ -132,7 +132,7 @@
             del self.waiting[nonce]
 
     async def _wait_for_answer(
-        self, expected: Expected, timeout_s: float
+        self, expected: PendingProbe, timeout_s: float
     ) -> bool:
         try:
             await asyncio.wait_for(expected.answered, timeout_s)
@@ -188,7 +188,7 @@
             self._handle_ping(probe, facts, address)
         elif probe.kind == PING_REQUEST:
             self._handle_request(probe, address)
-        elif probe.kind in (ACK, RECEIVED):
+        elif probe.kind in (ACK, REQUEST_ACK):
             self._handle_answer(probe, facts, address)
         else:
             self.counts.add('probe.unreadable')
@@ -219,7 +219,7 @@
         if len(self.relay_tasks) >= MAX_RELAYED_PROBES:
             self.counts.add('probe.relay-refused')
             return
-        self._send_to(RECEIVED, probe.nonce, probe.subject, address, [])
+        self._send_to(REQUEST_ACK, probe.nonce, probe.subject, address, [])
         task = asyncio.ensure_future(
             self._probe_for(record, probe.nonce, address)
         )
--- a/src/peridotpost/membership/probing.py
+++ b/src/peridotpost/membership/probing.py
@@ -14,7 +14,7 @@
 from peridotpost.model import members
 
 
-class Members(Protocol):
+class MemberView(Protocol):
     """The part of the replica that the prober needs."""
 
     def record_of(self, host: str) -> members.MemberRecord | None: ...
@@ -31,7 +31,7 @@
         self,
         host: str,
         zone: str,
-        fleet: Members,
+        fleet: MemberView,
         clock: timers.TimerService,
         counts: counters.Counters,
         randomness: random.Random,
@@ -47,8 +47,8 @@
         self.period_s = period_s
         self.timeout_s = timeout_s
         self.observer = observers.Observer(randomness, suspicion_s)
-        self.pause = suspicion.PauseDetector(period_s, clock.now())
-        self.paused: list[Callable[[], None]] = []
+        self.pause_detector = suspicion.PauseDetector(period_s, clock.now())
+        self.pause_listeners: list[Callable[[], None]] = []
         self.pings = pings.ProbeEndpoint(
             host, fleet, counts, randomness, timeout_s
         )
@@ -60,14 +60,14 @@
     async def tick(self) -> None:
         """Probe the members due in this period and act on the results."""
         now = self.clock.now()
-        if self.pause.paused(now):
+        if self.pause_detector.paused(now):
             # After a pause all timers have expired; acting on them would
             # declare half of the zone dead.
             self._handle_own_pause(now)
             return
         others = [one for one in self.fleet.live() if one.host != self.host]
         candidates = suspicion.hosts_to_probe(self.zone, others)
-        subjects = self.observer.subjects(candidates, now)
+        subjects = self.observer.select_subjects(candidates, now)
         await asyncio.gather(
             *(self._probe(subject, others) for subject in subjects)
         )
@@ -78,12 +78,12 @@
             self.period_s,
         ):
             self._handle_own_pause(ended_at)
-        self.pause.reset(ended_at)
+        self.pause_detector.reset(ended_at)
 
     def _handle_own_pause(self, now: float) -> None:
         self.counts.add('probe.own-pause')
         self.observer.suspicions.restart(now)
-        for listener in self.paused:
+        for listener in self.pause_listeners:
             listener()
 
     async def _probe(
@@ -96,7 +96,7 @@
         latest = self.fleet.record_of(subject)
         if latest is None or latest.incarnation != record.incarnation:
             return
-        verdict = self.observer.judge(latest, result, self.clock.now())
+        verdict = self.observer.evaluate(latest, result, self.clock.now())
         self.counts.add(f'probe.{verdict.value}')
         if verdict is observers.Verdict.SUSPECTED:
             self.fleet.offer(suspicion.suspected(latest))
@@ -113,7 +113,7 @@
             return observers.ProbeResult(answered=True)
         near = [o.host for o in others if o.availability_zone == self.zone]
         far = [o.host for o in others if o.availability_zone != self.zone]
-        helpers = self.observer.round.helpers(record.host, near, far)
+        helpers = self.observer.probe_round.helpers(record.host, near, far)
         answered, heard = await self.pings.ping_via(record, helpers)
         elapsed_s = self.clock.now() - started
         return observers.ProbeResult(
--- a/src/peridotpost/membership/seeds.py
+++ b/src/peridotpost/membership/seeds.py
@@ -98,7 +98,7 @@
         """Renew, write or withdraw the record; return whether it is due."""
         zone = record.availability_zone
         stored = [s.host for s in self.stored if s.availability_zone == zone]
-        if not rules.is_due(record.host, zone, zone_hosts, stored):
+        if not rules.should_keep_record(record.host, zone, zone_hosts, stored):
             await self.withdraw()
             return False
         if not self.lease or not await self._renew():
@@ -131,7 +131,7 @@
             return
         existing = {kv.key: kv for kv in found.ok_value}
         hosts = [key.removeprefix(prefix) for key in existing]
-        if not rules.is_due(record.host, zone, zone_hosts, hosts):
+        if not rules.should_keep_record(record.host, zone, zone_hosts, hosts):
             return
         own_seed = seed_of(record)
         current = existing.get(f'{prefix}{record.host}')
--- a/src/peridotpost/membership/targets.py
+++ b/src/peridotpost/membership/targets.py
@@ -13,7 +13,7 @@
 from peridotpost.model import errors
 from peridotpost.model import members
 
-EXPIRY_CHECKS = 4
+EXPIRY_CHECKS_PER_TTL = 4
 """Checks for expired announcements within the lifetime of one."""
 PAUSE_FACTOR = 2.0
 """A gap of two checks is half the lifetime of an announcement; together with
@@ -34,8 +34,8 @@
     slots: int
     connections: int
     state: members.TargetState
-    good_until: float
-    replaced: frozenset[int] = frozenset()
+    expires_at: float
+    former_ports: frozenset[int] = frozenset()
     """Earlier ports under which the name was announced."""
 
     def to_record(self) -> members.TargetRecord:
@@ -48,13 +48,13 @@
     """Announced targets by service and name."""
 
     def __init__(
-        self, myself: own.Myself, ttl_s: float, counts: counters.Counters
+        self, myself: own.LocalMember, ttl_s: float, counts: counters.Counters
     ) -> None:
         self.myself = myself
         self.ttl_s = ttl_s
         self.counts = counts
-        self.found: dict[tuple[str, str], LocalTarget] = {}
-        self.pause: suspicion.PauseDetector | None = None
+        self.by_name: dict[tuple[str, str], LocalTarget] = {}
+        self.pause_detector: suspicion.PauseDetector | None = None
 
     def announce(self, target: LocalTarget) -> None:
         """Process an announcement, new or repeated.
@@ -68,10 +68,10 @@
         :raises NameTaken: a later target owns the name.
         """
         key = (target.service, target.name)
-        old = self.found.get(key)
+        old = self.by_name.get(key)
         if old is not None:
             self._check_port_change(old, target)
-        self.found[key] = target
+        self.by_name[key] = target
         if old is None or old.state is not target.state:
             logs.state_changed(
                 'target',
@@ -83,9 +83,9 @@
 
     def _check_port_change(self, old: LocalTarget, new: LocalTarget) -> None:
         if new.port == old.port:
-            new.replaced = old.replaced
+            new.former_ports = old.former_ports
             return
-        if new.port in old.replaced:
+        if new.port in old.former_ports:
             self.counts.add('target.name-taken')
             raise NameTaken(
                 f'the target on port {old.port} announces this name too; '
@@ -93,12 +93,12 @@
                 step='target.announce',
                 peer=f'{new.service}/{new.name}',
             )
-        new.replaced = old.replaced | {old.port}
+        new.former_ports = old.former_ports | {old.port}
         self.counts.add('target.moved')
 
     def withdraw(self, service: str, name: str, why: str) -> None:
         """Remove a target at once, for example if its port is closed."""
-        if self.found.pop((service, name), None) is None:
+        if self.by_name.pop((service, name), None) is None:
             return
         self.counts.add('target.withdrawn')
         logs.state_changed(
@@ -112,28 +112,30 @@
         After a pause of this process all announcements look expired, since
         none could be processed meanwhile, so their lifetimes start again.
         """
-        if self.pause is None:
-            period_s = self.ttl_s / EXPIRY_CHECKS
-            self.pause = suspicion.PauseDetector(period_s, now, PAUSE_FACTOR)
-        if self.pause.paused(now):
+        if self.pause_detector is None:
+            period_s = self.ttl_s / EXPIRY_CHECKS_PER_TTL
+            self.pause_detector = suspicion.PauseDetector(
+                period_s, now, PAUSE_FACTOR
+            )
+        if self.pause_detector.paused(now):
             self.counts.add('target.own-pause')
-            for target in self.found.values():
-                target.good_until = now + self.ttl_s
+            for target in self.by_name.values():
+                target.expires_at = now + self.ttl_s
             return
-        for target in list(self.found.values()):
-            if target.good_until <= now:
+        for target in list(self.by_name.values()):
+            if target.expires_at <= now:
                 self.withdraw(target.service, target.name, 'silent')
 
     def of_service(self, service: str) -> list[LocalTarget]:
-        return [one for one in self.found.values() if one.service == service]
+        return [one for one in self.by_name.values() if one.service == service]
 
     def services(self) -> frozenset[str]:
-        return frozenset(one.service for one in self.found.values())
+        return frozenset(one.service for one in self.by_name.values())
 
     def _publish(self) -> None:
         if self.myself.stage is own.Stage.LEAVING:
             return
-        ordered = sorted(self.found.items())
+        ordered = sorted(self.by_name.items())
         self.myself.set_targets(
             tuple(target.to_record() for _, target in ordered)
         )
--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -8,9 +8,9 @@
 import time
 
 from peridotpost.border import proxy as border
-from peridotpost.decisions import asking
 from peridotpost.decisions import budget
 from peridotpost.decisions import following
+from peridotpost.decisions import peerqueries
 from peridotpost.decisions import releasesplit
 from peridotpost.decisions import selection
 from peridotpost.kernel import counters
@@ -116,7 +116,7 @@
             self.log,
         )
         self.requests = listener.Port(headers, self.forwarder.handle)
-        follow = following.Following(settings.link_mbps, deadlines.now())
+        follow = following.StoreReadPolicy(settings.link_mbps, deadlines.now())
         self.directory.slow = follow.slow
         self.versions = version_feed.Versions(
             self.adapter.decode,
@@ -382,9 +382,9 @@
         random delay keeps daemons that started together from checking at the
         same time and reading before they hear that another one does.
         """
-        await asyncio.sleep(following.BEAT_S * self.randomness.random())
+        await asyncio.sleep(following.HEARTBEAT_S * self.randomness.random())
         while not tasks.cancelled():
-            await asyncio.sleep(following.BEAT_S)
+            await asyncio.sleep(following.HEARTBEAT_S)
             if self.versions.following.slow:
                 await self.feed.read_if_due()
             else:
@@ -399,14 +399,14 @@
         """Ask peers for known hosts while the store is unreachable."""
         streams = {stream.host: stream for stream in self.directory.streams()}
         candidates = [
-            asking.Neighbour(
+            peerqueries.PeerCandidate(
                 host, self.directory.is_far(streams[host].zone), stream.asked
             )
             for host, stream in streams.items()
             if host
         ]
         self.randomness.shuffle(candidates)
-        for host in asking.to_ask(candidates):
+        for host in peerqueries.peers_to_ask(candidates):
             streams[host].asked = True
             streams[host].send(frames.Known([]))
 
--- a/src/peridotpost/mesh/storefeed.py
+++ b/src/peridotpost/mesh/storefeed.py
@@ -141,7 +141,7 @@
     @property
     def reachable(self) -> bool | None:
         """Whether the store answers; None before the first call."""
-        return self.versions.following.answers
+        return self.versions.following.store_reachable
 
     async def watch(self) -> None:
         """Follow the configuration in the store until cancelled."""
@@ -256,7 +256,7 @@
 
     async def read_if_due(self) -> None:
         """Read the configuration if no host announces that it follows it."""
-        if not self.versions.following.reads_now(deadlines.now()):
+        if not self.versions.following.should_read(deadlines.now()):
             return
         self.counts.add('config.read')
         self.versions.announce_reading()
--- a/src/peridotpost/mesh/versions.py
+++ b/src/peridotpost/mesh/versions.py
@@ -55,7 +55,7 @@
         decode: Decode,
         apply: Callable[[mesh.MeshConfig], None],
         directory: directories.Directory,
-        follow: following.Following,
+        follow: following.StoreReadPolicy,
         counts: counters.Counters,
         log: lines.LineLog,
     ) -> None:
@@ -132,15 +132,15 @@
 
     def announce_following(self) -> None:
         """Tell peers with slow links that this daemon follows the store."""
-        if self.following.follows and self.version:
+        if self.following.follows_store and self.version:
             self.directory.broadcast_to_zone(
                 self._version_frame(), slow_only=True
             )
 
     def note_store_state(self, answers: bool) -> None:
         """Record whether the store answers; announce it to peers if not."""
-        followed = self.following.follows
-        self.following.store_answers(answers, deadlines.now())
+        followed = self.following.follows_store
+        self.following.note_store_state(answers, deadlines.now())
         if followed and not answers:
             self.directory.broadcast_to_zone(
                 self._version_frame(), slow_only=True
@@ -153,7 +153,7 @@
         )
 
     def _version_frame(self) -> frames.Version:
-        follows = None if self.following.slow else self.following.follows
+        follows = None if self.following.slow else self.following.follows_store
         return frames.Version(self.version, follows)
 
     def _handle_version(
@@ -161,7 +161,7 @@
     ) -> None:
         other_zone = self.directory.is_far(stream.zone)
         if frame.following and stream.slow and not other_zone:
-            self.following.others_read(deadlines.now())
+            self.following.note_peer_read(deadlines.now())
         elif frame.following and not other_zone:
             if self.following.heard(stream.host, deadlines.now()):
                 self.followed_again.fire(stream.host)
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -68,7 +68,7 @@
         self.siblings: Callable[[], int] = lambda: 1
         self.counts = counts
         self.log = log
-        self.instances = incarnations.InstanceLog()
+        self.instances = incarnations.InstanceTracker()
         self.queue = slot_rules.SlotQueue(0, randomness)
         self.idle = upstream.IdlePool()
         self.running: dict[forwarding.Order, upstream.TargetConnection] = {}
@@ -262,7 +262,7 @@
     def _log_declined(
         self, order: forwarding.Order, retry_after_s: float
     ) -> None:
-        if not self.log.has_room(logbudget.Weight.STEP):
+        if not self.log.has_room(logbudget.LinePriority.STEP):
             return
         now = deadlines.now()
         queue = self.queue
--- a/src/peridotpost/proxy/requesthistory.py
+++ b/src/peridotpost/proxy/requesthistory.py
@@ -57,14 +57,17 @@
     def clear_answered(self, message: http1.Message) -> None:
         """Clear the crash suspicion of a request that was answered."""
         if self.poison.suspects:
-            self.poison.cleared((_fingerprint(message),))
+            self.poison.clear((_fingerprint(message),))
 
     def is_poison(self, message: http1.Message) -> bool:
         """Whether a request must be refused because it crashed targets."""
         if not self.poison.suspects:
             return False
         names = (_fingerprint(message),)
-        return self.poison.names_refused_for_s(names, deadlines.now()) > 0
+        return (
+            self.poison.refusal_remaining_by_names_s(names, deadlines.now())
+            > 0
+        )
 
 
 def _fingerprint(message: http1.Message) -> str:
--- a/src/peridotpost/proxy/requestlog.py
+++ b/src/peridotpost/proxy/requestlog.py
@@ -47,7 +47,7 @@
         detail: str,
     ) -> None:
         """Log a final result other than a successful response."""
-        if self.log.has_room(logbudget.Weight.ENDING):
+        if self.log.has_room(logbudget.LinePriority.OUTCOME):
             now = deadlines.now()
             fields = self._fields(exchange, target, detail, now)
             self.log.tell(decision, fields)
@@ -56,7 +56,7 @@
         self, exchange: exchanges.Exchange, target: str, detail: str
     ) -> None:
         """Log a dispatch that ended without a response."""
-        if self.log.has_room(logbudget.Weight.STEP):
+        if self.log.has_room(logbudget.LinePriority.STEP):
             now = deadlines.now()
             fields = self._fields(exchange, target, detail, now)
             self.log.tell('lost', fields)
--- a/testing/callpath.py
+++ b/testing/callpath.py
@@ -57,7 +57,7 @@
     host: str
     zone: str
     replica: replicas.Replica
-    myself: own.Myself
+    myself: own.LocalMember
     targets: local.LocalTargets
     guard: guards.Guard
     router: routers.Router
@@ -78,7 +78,7 @@
                 slots=options.get('slots', 4),
                 connections=options.get('connections', 40),
                 state=members.TargetState(options.get('state', 1)),
-                good_until=float('inf'),
+                expires_at=float('inf'),
             )
         )
 
@@ -120,7 +120,7 @@
         )
         mesh = text.read_text(mesh_text, 'test')
         replica.offer_whole(text.to_config(mesh, 1, 'w'), 'test')
-        myself = own.Myself(
+        myself = own.LocalMember(
             members.MemberRecord(
                 host,
                 zone,
--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -2,12 +2,14 @@
 
 import pytest
 
-from peridotpost.decisions import asking
+from peridotpost.decisions import peerqueries
 
 
-def neighbours(near: int, far: int, asked: int = 0) -> list[asking.Neighbour]:
+def neighbours(
+    near: int, far: int, asked: int = 0
+) -> list[peerqueries.PeerCandidate]:
     return [
-        asking.Neighbour(f'h{number}', number >= near, number < asked)
+        peerqueries.PeerCandidate(f'h{number}', number >= near, number < asked)
         for number in range(near + far)
     ]
 
@@ -16,13 +18,13 @@
     ('near', 'far', 'asked', 'wanted'),
     [
         pytest.param(
-            11, 48, 0, asking.MAX_SAME_ZONE_PEERS, id='a few of the zone'
+            11, 48, 0, peerqueries.MAX_SAME_ZONE_PEERS, id='a few of the zone'
         ),
         pytest.param(11, 48, 3, 0, id='enough were asked'),
         pytest.param(11, 48, 1, 2, id='one answer may still come'),
         pytest.param(2, 48, 0, 2, id='a small zone'),
         pytest.param(
-            0, 48, 0, asking.MAX_OTHER_ZONE_PEERS, id='alone in its zone'
+            0, 48, 0, peerqueries.MAX_OTHER_ZONE_PEERS, id='alone in its zone'
         ),
         pytest.param(0, 48, 1, 0, id='alone, and asked'),
         pytest.param(0, 0, 0, 0, id='no-peers'),
@@ -31,7 +33,7 @@
 def test_only_a_few_peers_of_the_own_zone_are_asked(
     near: int, far: int, asked: int, wanted: int
 ) -> None:
-    chosen = asking.to_ask(neighbours(near, far, asked))
+    chosen = peerqueries.peers_to_ask(neighbours(near, far, asked))
     assert len(chosen) == wanted
     assert all(int(host[1:]) < max(near, 1) + asked for host in chosen)
 
@@ -45,6 +47,6 @@
     """
     list_bytes = 60 * 100
     hosts = neighbours(11, 48)
-    received = len(asking.to_ask(hosts)) * list_bytes
+    received = len(peerqueries.peers_to_ask(hosts)) * list_bytes
     slowest_link_bytes_per_s = 2_500_000 / 8
     assert received < 0.1 * slowest_link_bytes_per_s
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -95,7 +95,7 @@
     target = version_rules.Holding(
         parent.replica.version.scoped(interest), interest
     )
-    full_update = version_rules.difference(config.NO_CONFIG, target)
+    full_update = version_rules.make_update(config.NO_CONFIG, target)
     assert wire.update_to_wire(full_update).ByteSize() <= whole_bytes
     for number in range(len(parent.replica.version.services)):
         held = parent.replica.version
@@ -243,7 +243,7 @@
                     random.Random(number),
                 )
                 watchers.append(source)
-                source.follow_place(tree.Place(True, True, ()))
+                source.follow_place(tree.TreePosition(True, True, ()))
             await conditions.until(
                 lambda: backend.platform.counts['watching'] == relays
             )
@@ -381,7 +381,9 @@
 def test_stream_counts_of_each_role_are_bounded() -> None:
     """The streams of a parent or relay bound its messages per change."""
     hosts = [f'zone-00-{number}' for number in range(ZONE_HOSTS)]
-    positions = {host: tree.place_of(host, 'zone-00', hosts) for host in hosts}
+    positions = {
+        host: tree.position_of(host, 'zone-00', hosts) for host in hosts
+    }
     children: dict[str, int] = {}
     for position in positions.values():
         if position.parents:
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -2,27 +2,29 @@
 
 from peridotpost.decisions import following
 
-BEAT_S = following.BEAT_S
+BEAT_S = following.HEARTBEAT_S
 
 
-def slow(now: float = 0.0) -> following.Following:
-    return following.Following(link_mbps=5.0, start=now)
+def slow(now: float = 0.0) -> following.StoreReadPolicy:
+    return following.StoreReadPolicy(link_mbps=5.0, start=now)
 
 
-def reads(one: following.Following, start: float, end: float) -> list[float]:
+def reads(
+    one: following.StoreReadPolicy, start: float, end: float
+) -> list[float]:
     """Return when `one` reads, checked each heartbeat in the interval."""
     beats = int((end - start) / BEAT_S) + 1
     asked = [start + beat * BEAT_S for beat in range(beats)]
-    return [now for now in asked if one.reads_now(now)]
+    return [now for now in asked if one.should_read(now)]
 
 
 def test_slow_link_reads_only_without_followers() -> None:
     one = slow()
-    assert not reads(one, 0.0, following.HEARD_S - BEAT_S)
-    first, second, *_ = reads(one, following.HEARD_S, 10.0)
-    assert second - first >= following.READ_EVERY_S
+    assert not reads(one, 0.0, following.FOLLOWER_TIMEOUT_S - BEAT_S)
+    first, second, *_ = reads(one, following.FOLLOWER_TIMEOUT_S, 10.0)
+    assert second - first >= following.MIN_READ_INTERVAL_S
     one.heard('fast', 20.0)
-    assert not reads(one, 20.0, 20.0 + following.HEARD_S - BEAT_S)
+    assert not reads(one, 20.0, 20.0 + following.FOLLOWER_TIMEOUT_S - BEAT_S)
 
 
 def test_after_an_outage_slow_links_wait_for_followers() -> None:
@@ -33,26 +35,26 @@
     up.  Followers announce themselves within one heartbeat.
     """
     one = slow()
-    one.store_answers(False, 1.0)
+    one.note_store_state(False, 1.0)
     assert not reads(one, 1.0, 9.0)
-    one.store_answers(True, 9.0)
+    one.note_store_state(True, 9.0)
     assert not reads(one, 9.0, 9.0 + BEAT_S)
     one.heard('fast', 9.0 + BEAT_S)
-    assert not reads(one, 9.0 + BEAT_S, 9.0 + following.HEARD_S)
+    assert not reads(one, 9.0 + BEAT_S, 9.0 + following.FOLLOWER_TIMEOUT_S)
 
 
 def test_zone_without_followers_reads_for_itself() -> None:
     one = slow()
-    one.store_answers(False, 1.0)
-    one.store_answers(True, 9.0)
+    one.note_store_state(False, 1.0)
+    one.note_store_state(True, 9.0)
     read_at, *_ = reads(one, 9.0, 15.0)
-    assert read_at - 9.0 <= following.HEARD_S + BEAT_S
+    assert read_at - 9.0 <= following.FOLLOWER_TIMEOUT_S + BEAT_S
 
 
 def test_first_store_answer_delays_no_read() -> None:
     one = slow()
-    one.store_answers(True, 5.0)
-    assert one.reads_now(5.0)
+    one.note_store_state(True, 5.0)
+    assert one.should_read(5.0)
 
 
 SILENCE_NOTICED_S = 1.5
@@ -70,13 +72,13 @@
     a new version is accepted meanwhile.  If they don't announce the loss,
     the slow ones wait for two more heartbeats before they read.
     """
-    slow = following.Following(5.0, start=0.0)
-    slow.store_answers(True, 0.0)
+    slow = following.StoreReadPolicy(5.0, start=0.0)
+    slow.note_store_state(True, 0.0)
     slow.heard('fast', SILENCE_NOTICED_S)
     slow.lost('fast')
-    acknowledged = SILENCE_NOTICED_S - following.BEAT_S / 2
-    checks = [step * following.BEAT_S for step in range(10)]
-    read_at = next(at for at in checks if slow.reads_now(at))
+    acknowledged = SILENCE_NOTICED_S - following.HEARTBEAT_S / 2
+    checks = [step * following.HEARTBEAT_S for step in range(10)]
+    read_at = next(at for at in checks if slow.should_read(at))
     assert read_at <= acknowledged + IN_FORCE_S
 
 
@@ -89,18 +91,18 @@
     """
     hosts = [slow() for _ in range(20)]
     for one in hosts:
-        one.store_answers(True, 0.0)
+        one.note_store_state(True, 0.0)
         one.heard('fast', 10.0)
         one.lost('fast')
     read_at = []
     for step in range(5 * 20):
         now = 10.0 + step * BEAT_S / len(hosts)
         looking = hosts[step % len(hosts)]
-        if looking.reads_now(now):
+        if looking.should_read(now):
             read_at.append(now)
             for other in hosts:
                 if other is not looking:
-                    other.others_read(now)
+                    other.note_peer_read(now)
     assert len(read_at) <= 5
     pauses = [b - a for a, b in zip([10.0, *read_at], read_at, strict=False)]
     # The reads are still frequent enough for new versions.
@@ -112,13 +114,13 @@
     one.heard('first', 5.0)
     one.heard('second', 5.0)
     one.lost('first')
-    assert not reads(one, 5.0, 5.0 + following.HEARD_S - BEAT_S)
+    assert not reads(one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - BEAT_S)
     one.lost('second')
-    assert one.reads_now(5.0 + BEAT_S)
+    assert one.should_read(5.0 + BEAT_S)
 
 
 def test_loss_on_a_host_that_never_followed_is_ignored() -> None:
     one = slow()
     one.heard('fast', 5.0)
     one.lost('slow')
-    assert not reads(one, 5.0, 5.0 + following.HEARD_S - BEAT_S)
+    assert not reads(one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - BEAT_S)
--- a/testing/test_lines.py
+++ b/testing/test_lines.py
@@ -109,7 +109,7 @@
     """
     log = lines.LineLog('h', pipe[1], Clock())
     for number in range(1000):
-        if log.has_room(logbudget.Weight.STEP):
+        if log.has_room(logbudget.LinePriority.STEP):
             log.tell('declined', {'request': str(number)})
     for number in range(30):
         log.request('refused', request=str(number))
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -58,12 +58,12 @@
 
 @pytest.fixture
 def targets() -> local.LocalTargets:
-    myself = own.Myself(test_suspicion.record_of('h'))
+    myself = own.LocalMember(test_suspicion.record_of('h'))
     return local.LocalTargets(myself, TTL_S, counters.Counters())
 
 
 def ports(targets: local.LocalTargets) -> list[int]:
-    return [one.port for one in targets.found.values()]
+    return [one.port for one in targets.by_name.values()]
 
 
 def test_silent_target_is_removed(
--- a/testing/test_pacing.py
+++ b/testing/test_pacing.py
@@ -15,7 +15,7 @@
     # of a second.  The parent must admit 40 a second, and those it refuses
     # must not all return at the same moment.
     randomness = random.Random(conftest.SEED)
-    limit = pacing.JoinLimit(0.0)
+    limit = pacing.JoinLimiter(0.0)
     coming = [(randomness.uniform(0, 0.1), host) for host in range(470)]
     heapq.heapify(coming)
     admitted: list[float] = []
@@ -37,7 +37,7 @@
 
 
 def test_retry_times_of_one_wave_are_spread() -> None:
-    limit = pacing.JoinLimit(0.0)
+    limit = pacing.JoinLimiter(0.0)
     waits = [limit.admit(0.0) for _ in range(400)]
     refused = [wait for wait in waits if wait]
     assert len(refused) == 400 - pacing.JOIN_BURST
@@ -47,7 +47,7 @@
 
 
 def test_retry_times_of_a_huge_wave_are_bounded() -> None:
-    limit = pacing.JoinLimit(0.0)
+    limit = pacing.JoinLimiter(0.0)
     waits = [limit.admit(0.0) for _ in range(5200)]
     assert max(waits) <= pacing.MAX_RETRY_AFTER_S + 1 / pacing.JOINS_PER_S
 
@@ -76,7 +76,7 @@
     # The preferred parent is full and says when to retry.  The child must
     # dial the next one at once.  If all are full it must wait for the one
     # with the earliest retry time, and no less than that.
-    choice = pacing.ParentChoice(randomness)
+    choice = pacing.ParentSelector(randomness)
     assert choice.choose(('a', 'b'), 10.0) == ('a', 0.0)
     choice.refused('a', 10.0, 5.0)
     assert choice.choose(('a', 'b'), 10.0) == ('b', 0.0)
@@ -87,14 +87,14 @@
     assert choice.choose(('a', 'b'), 10.0 + wait_s) == ('b', 0.0)
 
 
-def dials_in(choice: pacing.ParentChoice, stood_s: float) -> int:
+def dials_in(choice: pacing.ParentSelector, stood_s: float) -> int:
     """Count the dials in a minute to a parent that drops every stream."""
     now, dials = 0.0, 0
     while now < 60:
         peer, wait_s = choice.choose(('a',), now)
         now += wait_s + stood_s
         dials += 1
-        choice.ended(peer, now, stood_s)
+        choice.record_end(peer, now, stood_s)
     return dials
 
 
@@ -103,25 +103,25 @@
 ) -> None:
     # A parent answers the greeting and fails right after.  A child that
     # treated the answer as success would dial it twenty times a second.
-    assert dials_in(pacing.ParentChoice(randomness), 0.001) < 60
+    assert dials_in(pacing.ParentSelector(randomness), 0.001) < 60
 
 
 def test_stable_stream_is_reopened_at_once(
     randomness: random.Random,
 ) -> None:
-    choice = pacing.ParentChoice(randomness)
+    choice = pacing.ParentSelector(randomness)
     for _ in range(20):
-        choice.ended('a', 0.0, 0.001)
-    choice.ended('a', 100.0, pacing.STABLE_STREAM_S)
+        choice.record_end('a', 0.0, 0.001)
+    choice.record_end('a', 100.0, pacing.STABLE_STREAM_S)
     _, wait_s = choice.choose(('a',), 100.0)
-    assert wait_s <= pacing.BASE_S
+    assert wait_s <= pacing.BASE_DELAY_S
 
 
 def test_children_of_a_lost_parent_spread_over_many_others() -> None:
     # An intermediate parent with 16 children dies.  If all of them took the
     # next parent in a common order, that one would be full at once.
     hosts = [f'host-{number}' for number in range(473)]
-    places = {host: tree.place_of(host, 'z', hosts) for host in hosts}
+    places = {host: tree.position_of(host, 'z', hosts) for host in hosts}
     first = {h: p.parents for h, p in places.items() if len(p.parents) > 2}
     lost = next(iter(first.values()))[0]
     second = [parents[1] for parents in first.values() if parents[0] == lost]
--- a/testing/test_poison.py
+++ b/testing/test_poison.py
@@ -74,8 +74,8 @@
     one = poison.PoisonList()
     for target, incident in crashes:
         one.crashed(NAMES, target, incident, 1.0)
-    assert one.refused_for_s(CALL, at) == pytest.approx(refused_s)
-    assert one.refused_for_s(changed(path='/y'), at) == 0
+    assert one.refusal_remaining_s(CALL, at) == pytest.approx(refused_s)
+    assert one.refusal_remaining_s(changed(path='/y'), at) == 0
 
 
 def test_request_that_is_answered_is_cleared() -> None:
@@ -87,7 +87,7 @@
     one.crashed(NAMES, 'a', '1', 0.0)
     one.answered(CALL)
     one.crashed(NAMES, 'b', '1', 1.0)
-    assert one.refused_for_s(CALL, 1.0) == 0
+    assert one.refusal_remaining_s(CALL, 1.0) == 0
 
 
 def test_crash_records_are_bounded_and_expire() -> None:
--- a/testing/test_proxy_leaving.py
+++ b/testing/test_proxy_leaving.py
@@ -68,7 +68,7 @@
     late: instances.Announcement,
     current: str | None,
 ) -> None:
-    log = incarnations.InstanceLog()
+    log = incarnations.InstanceTracker()
     for one in before:
         log.offer(one)
     log.offer(late)
@@ -78,7 +78,7 @@
 
 
 def test_a_target_that_left_stays_away_until_it_starts_again() -> None:
-    log = incarnations.InstanceLog()
+    log = incarnations.InstanceTracker()
     log.offer(announcement(born=1000, sequence=3))
     assert log.leave('i-1', 1000)
     assert not log.offer(announcement(born=1000, sequence=4))
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -232,7 +232,7 @@
         await mesh.kv.configure(proxies.config(1))
         fast = await mesh.add('fast')
         slow = await mesh.add('slow', link_mbps=5.0)
-        heard = slow.proxy.versions.following.heard_by_host
+        heard = slow.proxy.versions.following.last_heard_by_host
         await conditions.until(lambda: 'fast' in heard)
         fast.proxy.versions.note_store_state(False)
         await conditions.until(lambda: 'fast' not in heard)
@@ -252,7 +252,7 @@
 
 
 def _left_to_others(host: proxies.Host) -> bool:
-    return host.proxy.versions.following.others_read_at > 0
+    return host.proxy.versions.following.peer_read_at > 0
 
 
 def _has(hosts: list[proxies.Host], version: int) -> bool:
@@ -378,7 +378,7 @@
         await mesh.add('fast')
         slow = await mesh.add('slow', link_mbps=5.0)
         following = slow.proxy.versions.following
-        await conditions.until(lambda: 'fast' in following.heard_by_host)
+        await conditions.until(lambda: 'fast' in following.last_heard_by_host)
 
         async def refused(lease: int) -> bool:
             raise errors.StoreRefused('status 503', step='kv-keep')
--- a/testing/test_replicas_machine.py
+++ b/testing/test_replicas_machine.py
@@ -267,4 +267,6 @@
     one = fleets.hosting('a')
     other = fleets.hosting('a', 'b')
     assert held.scoped(one) == held.scoped(other)
-    assert versions.seal(held, one) != versions.seal(held, other)
+    assert versions.scope_digest(held, one) != versions.scope_digest(
+        held, other
+    )
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -22,9 +22,12 @@
 def test_version_is_in_force_in_a_zone_only_if_all_are_covered(
     reports: list[tuple[int, int, bool]], in_force: bool
 ) -> None:
-    zone_reports = [rollout.RelayWord('a', *report) for report in reports]
-    other = rollout.RelayWord('b', 1, 9, True)
-    assert rollout.of_zone('a', 3, [*zone_reports, other]).has(7) is in_force
+    zone_reports = [rollout.RelayReport('a', *report) for report in reports]
+    other = rollout.RelayReport('b', 1, 9, True)
+    assert (
+        rollout.combine_reports('a', 3, [*zone_reports, other]).is_in_force(7)
+        is in_force
+    )
 
 
 @pytest.mark.processes
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -119,7 +119,7 @@
         if latest.incarnation != seen.incarnation or not latest.live:
             return
         observer = self.observers[source]
-        verdict = observer.judge(latest, evidence, self.now)
+        verdict = observer.evaluate(latest, evidence, self.now)
         if verdict is observers.Verdict.SUSPECTED:
             self.offer(suspicion.suspected(latest))
         elif verdict is observers.Verdict.DEAD:
@@ -129,7 +129,7 @@
         self, source: str, to: str, live: Collection[str]
     ) -> observers.ProbeResult:
         near = set(live) - {source}
-        helpers = self.observers[source].round.helpers(to, near)
+        helpers = self.observers[source].probe_round.helpers(to, near)
         heard, answered = 0, False
         for helper in helpers:
             if helper in self.down or not self.passes(source, helper):
@@ -144,7 +144,9 @@
             live = {h for h, one in self.records.items() if one.live}
             for host in sorted(only or live - self.down):
                 observer = self.observers[host]
-                for subject in observer.subjects(live - {host}, self.now):
+                for subject in observer.select_subjects(
+                    live - {host}, self.now
+                ):
                     self.probe(host, subject, live)
 
 
@@ -217,7 +219,7 @@
     zone.down |= {first_observer}
     others = [one for one in zone.records if one not in zone.down]
     for host in others:
-        zone.observers[host].round.pending = [others[0]] * 12
+        zone.observers[host].probe_round.pending = [others[0]] * 12
     zone.run(9)
     assert failed in zone.dead_after
 
@@ -228,7 +230,7 @@
 )
 def test_confirmed_suspicion_is_shorter(silences: int, lasts_s: float) -> None:
     one = suspicion.Suspicion(1, 0.0, silences)
-    assert one.lasts_s(SUSPICION_S) == pytest.approx(lasts_s, abs=0.001)
+    assert one.duration_s(SUSPICION_S) == pytest.approx(lasts_s, abs=0.001)
 
 
 ProbeResult, Verdict = observers.ProbeResult, observers.Verdict
@@ -269,7 +271,7 @@
     one = observers.Observer(randomness, SUSPICION_S)
     record = record_of('a', status)
     one.suspicions.observe(record, 0.0)
-    assert one.judge(record, evidence, after_s) is verdict
+    assert one.evaluate(record, evidence, after_s) is verdict
 
 
 def test_suspicion_of_an_older_incarnation_ends(
@@ -394,7 +396,7 @@
         one.pings.transport = link
         probers[host] = one
     noticed: list[bool] = []
-    probers['a'].paused.append(lambda: noticed.append(True))
+    probers['a'].pause_listeners.append(lambda: noticed.append(True))
     for _ in hosts[1:]:
         clock.at += 1.0
         ticking = asyncio.ensure_future(probers['a'].tick())
@@ -520,7 +522,7 @@
 ) -> None:
     # The suspect's streams are broken, so only the probe informs it.
     with open_prober(randomness) as (prober, fleet, sent, _):
-        myself = own.Myself(fleet.records['me'])
+        myself = own.LocalMember(fleet.records['me'])
         prober.fleet.offer = myself.refute
         myself.changed.subscribe(lambda new: fleet.records.update(me=new))
         fact = suspicion.suspected(fleet.records['me'])
@@ -553,7 +555,8 @@
         await asyncio.sleep(0)
         kinds = [(probe.kind, to) for probe, to in sent.datagrams]
         assert (
-            kinds.count((pings.RECEIVED, HELPER)) == pings.MAX_RELAYED_PROBES
+            kinds.count((pings.REQUEST_ACK, HELPER))
+            == pings.MAX_RELAYED_PROBES
         )
         assert kinds.count((pings.PING, SUBJECT)) == pings.MAX_RELAYED_PROBES
         assert counts.totals['probe.relay-refused'] == 5
@@ -576,7 +579,7 @@
 def test_daemon_answers_a_record_that_it_did_not_write(
     heard: members.MemberRecord, refutes: bool
 ) -> None:
-    myself = own.Myself(record_of('me'))
+    myself = own.LocalMember(record_of('me'))
     published: list[members.MemberRecord] = []
     myself.changed.subscribe(published.append)
     myself.refute(heard)
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -233,7 +233,7 @@
         node.announce('write', gone.port)
         reply = await caller.ask('write', 'POST', '/', b'x')
         assert (reply.status, reply.word) == (503, 'not-run')
-        assert node.targets.found == {}
+        assert node.targets.by_name == {}
 
 
 async def test_unresponsive_target_is_called_once_until_the_deadline() -> None:
@@ -335,7 +335,7 @@
         reply = await caller.ask(service, 'POST', '/', b'2')
         assert (reply.status, reply.word) == (502, 'unknown')
         assert node.counts.totals['guard.crash-noted'] >= 1
-        assert node.targets.found == {}
+        assert node.targets.by_name == {}
 
 
 async def closes_after_answer(
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -16,11 +16,11 @@
 
 
 @functools.cache
-def places(zone: str, hosts: tuple[str, ...]) -> dict[str, tree.Place]:
-    return {host: tree.place_of(host, zone, hosts) for host in hosts}
+def places(zone: str, hosts: tuple[str, ...]) -> dict[str, tree.TreePosition]:
+    return {host: tree.position_of(host, zone, hosts) for host in hosts}
 
 
-def depth_of(host: str, found: dict[str, tree.Place]) -> int:
+def depth_of(host: str, found: dict[str, tree.TreePosition]) -> int:
     """Return the steps from a relay to `host` over preferred parents."""
     steps = 0
     while not found[host].relay:
@@ -51,7 +51,7 @@
     children = collections.Counter(
         place.parents[0] for place in found.values() if place.parents
     )
-    assert all(found[host].parent_of_others for host in children)
+    assert all(found[host].has_children for host in children)
     assert max(children.values(), default=0) <= tree.MAX_CHILDREN
 
 
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -31,7 +31,7 @@
 def whole(
     version: config.ConfigVersion, scope: config.Interest = A
 ) -> versions.ConfigUpdate:
-    return versions.difference(config.NO_CONFIG, cut(version, scope))
+    return versions.make_update(config.NO_CONFIG, cut(version, scope))
 
 
 def change(
@@ -39,7 +39,7 @@
     version: config.ConfigVersion,
     scope: config.Interest = A,
 ) -> versions.ConfigUpdate:
-    return versions.difference(base.scoped(scope), cut(version, scope))
+    return versions.make_update(base.scoped(scope), cut(version, scope))
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
         pytest.param(cut(NEW, A), A, whole(NEW), STALE, id='repeated'),
         pytest.param(cut(NEW, A), A, change(OLD, NEW), STALE, id='twice'),
         pytest.param(
-            versions.NOTHING_HELD,
+            versions.EMPTY_HOLDING,
             A,
             change(OLD, NEW),
             NEED_WHOLE,
@@ -114,7 +114,7 @@
     update: versions.ConfigUpdate,
     verdict: versions.Verdict,
 ) -> None:
-    result = versions.judge(held, wanted, update)
+    result = versions.apply_update(held, wanted, update)
     assert result.verdict is verdict
     if verdict is not APPLIED:
         assert result.holding is held
@@ -124,7 +124,7 @@
 
 
 def test_update_with_a_wider_scope_is_cut_to_the_wanted_one() -> None:
-    result = versions.judge(cut(OLD, AC), A, whole(NEW, AC))
+    result = versions.apply_update(cut(OLD, AC), A, whole(NEW, AC))
     assert result.holding == cut(NEW, A)
 
 
@@ -296,7 +296,7 @@
             id='one-reported-twice-one-missing',
         ),
         pytest.param(
-            report_of(5, 'a', below=[progress.NOTHING_TOLD]),
+            report_of(5, 'a', below=[progress.NO_PROGRESS]),
             'ab',
             False,
             id='child-has-not-reported-yet',
@@ -347,4 +347,7 @@
 def test_starting_daemon_serves_once_it_heard_enough_peers(
     store_read: bool, holding: int, asked: int, known: int, enough: bool
 ) -> None:
-    assert versions.heard_enough(store_read, holding, asked, known) is enough
+    assert (
+        versions.heard_from_enough_peers(store_read, holding, asked, known)
+        is enough
+    )
--- a/testing/zones.py
+++ b/testing/zones.py
@@ -106,7 +106,7 @@
             reconciler = kernel.find('reconciler', reconcile.Reconciler)
             uplink_set.dial = self.dial_from(zone, self.stream_partitions)
             reconciler.dial = self.dial_from(zone, self.partitions)
-            record = kernel.find('myself', myself.Myself).record
+            record = kernel.find('myself', myself.LocalMember).record
             self.zone_by_address[record.control_address] = zone
             yield
 
@@ -206,7 +206,7 @@
 
     def address(self, host: str) -> str:
         kernel = self.daemons[host].kernel
-        return kernel.find('myself', myself.Myself).record.control_address
+        return kernel.find('myself', myself.LocalMember).record.control_address
 
     def has_in_force(self, host: str, revision: int) -> bool:
         return self.revision(host) >= revision
