--- a/src/peridotpost/mesh/adapter.py
+++ b/src/peridotpost/mesh/adapter.py
@@ -6,8 +6,8 @@
 from peridotpost.mesh import storefeed
 from peridotpost.mesh import versions
 from peridotpost.model import instances
+from peridotpost.proxy import headernames
 from peridotpost.proxy import http1
-from peridotpost.proxy import names
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     :param read_announcement: parses an announcement call of a target.
     """
 
-    headers: names.HeaderNames
+    headers: headernames.HeaderNames
     feed: storefeed.Feed
     decode: versions.Decode
     read_announcement: Callable[[http1.Message], TargetCall]
--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -88,7 +88,7 @@
     def _build(self) -> None:
         settings = self.settings
         headers = self.adapter.headers
-        self.request_deadlines = deadlines.Deadlines()
+        self.request_deadlines = deadlines.DeadlineTimer()
         self.guard = guards.Guard(
             headers,
             self.randomness,
@@ -147,7 +147,7 @@
         )
         self.metrics = metrics.Metrics(self.counts, self)
         self.forwarder.observe = self._observe
-        self.guard.reach.crashed.subscribe(self._handle_own_crash)
+        self.guard.reachability.crashed.subscribe(self._handle_own_crash)
         self.directory.frame_received.subscribe(self._handle_frame)
         for name in (
             'guard',
@@ -253,7 +253,7 @@
         self.directory.leaving = True
         self.log.state('stage', to='leaving', in_flight=self._in_flight())
         await asyncio.sleep(GUARD_STOPS_S)
-        self.guard.stop_taking()
+        self.guard.stop_accepting()
         self.requests.closing = True
         withdrawing = asyncio.ensure_future(self.feed.withdraw())
         await asyncio.sleep(OUT_OF_ROTATION_S - GUARD_STOPS_S)
@@ -297,7 +297,7 @@
             born_ms = call.born_ms or time.time_ns() // 1_000_000
             self.guard.left(call.instance, born_ms)
         else:
-            self.guard.announced(call)
+            self.guard.accept_announcement(call)
         head = b'Content-Type: application/json\r\n'
         respond(listener.Reply(200, head, b'{}'))
 
@@ -325,13 +325,13 @@
         incident = time.time_ns()
         names = list(fingerprints)
         self.log.state('crash', fingerprints=names, incident=incident)
-        self.forwarder.recognition.crashed(names, self.own.host, str(incident))
+        self.forwarder.history.crashed(names, self.own.host, str(incident))
         self.directory.broadcast(frames.Crash(incident, names))
 
     def _handle_frame(self, received: directories.ReceivedFrame) -> None:
         frame = received.frame
         if isinstance(frame, frames.Crash):
-            self.forwarder.recognition.crashed(
+            self.forwarder.history.crashed(
                 frame.fingerprints, received.stream.host, str(frame.incident)
             )
 
@@ -351,7 +351,7 @@
     async def _sweep_peers(self) -> None:
         while not tasks.cancelled():
             before, cpu_s = deadlines.now(), time.process_time()
-            await asyncio.sleep(peers.SWEEP_S)
+            await asyncio.sleep(peers.CHECK_INTERVAL_S)
             self._log_stall(before, cpu_s)
             self.directory.sweep()
             if self.feed.reachable is False:
@@ -365,7 +365,7 @@
         process was busy or was not scheduled.
         """
         now = deadlines.now()
-        late_s = now - before - peers.SWEEP_S
+        late_s = now - before - peers.CHECK_INTERVAL_S
         if late_s > STALL_THRESHOLD_S:
             self.counts.add('stalls')
             self.log.state(
@@ -400,7 +400,9 @@
         streams = {stream.host: stream for stream in self.directory.streams()}
         candidates = [
             peerqueries.PeerCandidate(
-                host, self.directory.is_far(streams[host].zone), stream.asked
+                host,
+                self.directory.is_remote_zone(streams[host].zone),
+                stream.asked,
             )
             for host, stream in streams.items()
             if host
@@ -412,6 +414,6 @@
 
     async def _sweep_ports(self) -> None:
         while not tasks.cancelled():
-            await asyncio.sleep(listener.SWEEP_S)
+            await asyncio.sleep(listener.CHECK_INTERVAL_S)
             for port in self.ports:
-                port.check()
+                port.close_timed_out()
--- a/src/peridotpost/mesh/directory.py
+++ b/src/peridotpost/mesh/directory.py
@@ -20,9 +20,9 @@
 from peridotpost.model import forwarding
 from peridotpost.model import instances
 from peridotpost.proxy import deadlines
+from peridotpost.proxy import frameconversion
 from peridotpost.proxy import frames
 from peridotpost.proxy import guard as guards
-from peridotpost.proxy import orders
 from peridotpost.proxy import peers
 
 MIN_DIAL_PAUSE_S = 0.1
@@ -91,7 +91,7 @@
         )
         self.latest_by_address = {_address_of(own): own}
         self.closed = False
-        guard.siblings = self.siblings
+        guard.target_count = self.siblings
         guard.changed.subscribe(self._own_target_changed)
 
     # Queries of the ingress.
@@ -237,7 +237,7 @@
         hello.slow = self.slow
         return hello
 
-    def is_far(self, availability_zone: str) -> bool:
+    def is_remote_zone(self, availability_zone: str) -> bool:
         return availability_zone != self.own_record.availability_zone
 
     def met(self, stream: peers.PeerStream, hello: frames.Hello) -> None:
@@ -305,7 +305,7 @@
         :param slow_only: only to daemons with a slow link.
         """
         for stream in self.accepted:
-            if self.is_far(stream.zone) or slow_only > stream.slow:
+            if self.is_remote_zone(stream.zone) or slow_only > stream.slow:
                 continue
             stream.send(frame)
 
@@ -319,7 +319,7 @@
         now = deadlines.now()
         for host, peer in list(self.peers.items()):
             if peer.stream is not None:
-                peer.stream.check(now)
+                peer.stream.check_liveness(now)
                 continue
             gone = not peer.recorded and (
                 now - peer.record_missing_since > FORGET_AFTER_S
@@ -380,7 +380,7 @@
     def _own_status(self) -> frames.Status:
         load = int(self.guard.queue.load * 100)
         failing = int(self.guard.failures.value(deadlines.now()) * 100)
-        return orders.status_of(self.guard.status(), load, failing)
+        return frameconversion.status_frame(self.guard.status(), load, failing)
 
     def _own_target_changed(self, status: instances.TargetStatus) -> None:
         self.own_candidate.update_state(
--- a/src/peridotpost/mesh/releases.py
+++ b/src/peridotpost/mesh/releases.py
@@ -20,9 +20,9 @@
 from peridotpost.model import forwarding
 from peridotpost.model import release
 from peridotpost.proxy import deadlines
+from peridotpost.proxy import frameconversion
 from peridotpost.proxy import frames
 from peridotpost.proxy import guard as guards
-from peridotpost.proxy import orders
 from peridotpost.proxy import peers
 
 REPORT_INTERVAL_S = 0.25
@@ -98,7 +98,7 @@
         return True
 
     def broadcast(self, state: release.ReleaseState) -> None:
-        self.directory.broadcast(orders.update_of(state))
+        self.directory.broadcast(frameconversion.release_update_frame(state))
 
     def service_targets(
         self, order: release.ReleaseOrder
@@ -150,18 +150,22 @@
         if stream.dialled:
             return
         for known_release in self.split.releases.values():
-            stream.send(orders.update_of(known_release.state))
+            stream.send(
+                frameconversion.release_update_frame(known_release.state)
+            )
 
     def _handle_frame(self, received: directories.ReceivedFrame) -> None:
         frame = received.frame
         if isinstance(frame, frames.ReleaseUpdate):
-            self.offer(orders.state_of(frame))
+            self.offer(frameconversion.release_state_from_frame(frame))
         elif isinstance(frame, frames.ReleaseReport):
             reports_by_host = self.reports.setdefault(
                 (frame.service, frame.revision), {}
             )
             host = received.stream.host
-            reports_by_host[host] = orders.report_of(host, frame)
+            reports_by_host[host] = frameconversion.target_report_from_frame(
+                host, frame
+            )
 
     # The own target.
 
@@ -201,7 +205,9 @@
                     report = self._current_report()
                     self.directory.send_frame(
                         state.coordinator,
-                        orders.report_frame(state.order, report),
+                        frameconversion.release_report_frame(
+                            state.order, report
+                        ),
                     )
                 await asyncio.sleep(REPORT_INTERVAL_S)
         finally:
@@ -210,7 +216,7 @@
 
     def _current_report(self) -> release.TargetReport:
         has_no_target = self.guard.instances.current is None
-        self.own_report.drained = self.guard.is_idle and (
+        self.own_report.drained = self.guard.has_no_work and (
             has_no_target or self.guard.withheld
         )
         return self.own_report
--- a/src/peridotpost/mesh/versions.py
+++ b/src/peridotpost/mesh/versions.py
@@ -116,7 +116,7 @@
     def _greet(self, stream: peers.PeerStream) -> None:
         if not self.version:
             self._schedule_first_fetch(stream, stream.version)
-        elif not self.directory.is_far(stream.zone):
+        elif not self.directory.is_remote_zone(stream.zone):
             stream.send(self._version_frame())
 
     def _handle_frame(self, received: directories.ReceivedFrame) -> None:
@@ -159,7 +159,7 @@
     def _handle_version(
         self, frame: frames.Version, stream: peers.PeerStream
     ) -> None:
-        other_zone = self.directory.is_far(stream.zone)
+        other_zone = self.directory.is_remote_zone(stream.zone)
         if frame.following and stream.slow and not other_zone:
             self.following.note_peer_read(deadlines.now())
         elif frame.following and not other_zone:
@@ -191,7 +191,7 @@
             return
         pause_s = (
             OTHER_ZONE_FIRST_FETCH_DELAY_S
-            if self.directory.is_far(stream.zone)
+            if self.directory.is_remote_zone(stream.zone)
             else 0.0
         )
         loop = asyncio.get_running_loop()
@@ -237,7 +237,7 @@
         if base is None:
             deflated = zlib.compress(self.current_raw, COMPRESSION_LEVEL)
             return frames.Config(self.version, deflated)
-        packed = deltas.pack(deltas.make(base, self.current_raw))
+        packed = deltas.pack(deltas.diff(base, self.current_raw))
         return frames.ConfigDelta(version, self.version, packed)
 
     def _handle_config(
--- a/src/peridotpost/platform/headers.py
+++ b/src/peridotpost/platform/headers.py
@@ -1,6 +1,6 @@
 """The platform's header names."""
 
-from peridotpost.proxy import names
+from peridotpost.proxy import headernames
 
 
 def parent_of(attempt_id: bytes) -> bytes:
@@ -11,10 +11,10 @@
     return attempt_id.rpartition(b'.')[0]
 
 
-HEADERS = names.HeaderNames(
+HEADERS = headernames.HeaderNames(
     attempt=b'x-attempt-id',
     deadline=b'x-deadline-remaining-ms',
-    proof=b'x-response-signature',
+    signature=b'x-response-signature',
     not_run=b'x-not-executed',
     instance=b'x-expected-instance',
     caller=b'x-caller-service',
--- a/src/peridotpost/proxy/client.py
+++ b/src/peridotpost/proxy/client.py
@@ -10,10 +10,10 @@
 
 import httptools
 
+from peridotpost.proxy import headernames
 from peridotpost.proxy import http1
-from peridotpost.proxy import names
 
-NO_HEADER_NAMES = names.HeaderNames(b'', b'', b'', b'', b'', b'')
+NO_HEADER_NAMES = headernames.HeaderNames(b'', b'', b'', b'', b'', b'')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/peridotpost/proxy/deadlines.py
+++ b/src/peridotpost/proxy/deadlines.py
@@ -25,7 +25,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Deadlines:
+class DeadlineTimer:
     """Calls the callback of each key still registered at its deadline."""
 
     def __init__(self) -> None:
--- a/src/peridotpost/proxy/deltas.py
+++ b/src/peridotpost/proxy/deltas.py
@@ -45,7 +45,7 @@
     """A delta is malformed or was made for a different base text."""
 
 
-def make(old: bytes, new: bytes) -> Delta:
+def diff(old: bytes, new: bytes) -> Delta:
     """Return the delta that turns `old` into `new`."""
     old_indices = {piece: index for index, piece in enumerate(_split(old))}
     parts: list[Part] = []
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -16,9 +16,9 @@
 from peridotpost.model import mesh
 from peridotpost.proxy import deadlines
 from peridotpost.proxy import exchange as exchanges
+from peridotpost.proxy import headernames
 from peridotpost.proxy import http1
 from peridotpost.proxy import listener
-from peridotpost.proxy import names
 from peridotpost.proxy import problems
 from peridotpost.proxy import requesthistory
 from peridotpost.proxy import requestlog
@@ -60,11 +60,11 @@
 
     def __init__(
         self,
-        header_names: names.HeaderNames,
+        header_names: headernames.HeaderNames,
         caller_service: str,
         backends: Backends,
         selector: selection.Selector,
-        deadline_timer: deadlines.Deadlines,
+        deadline_timer: deadlines.DeadlineTimer,
         releases: releasesplit.ReleaseSplit,
         counts: counters.Counters,
         log: lines.LineLog,
@@ -77,7 +77,7 @@
         self.counts = counts
         self.log = requestlog.RequestLog(log, lambda: self.config)
         self.splitter = split.Splitter()
-        self.recognition = requesthistory.RequestHistory()
+        self.history = requesthistory.RequestHistory()
         self.config: mesh.MeshConfig | None = None
         self.caller_head = (
             header_names.caller + b': ' + caller_service.encode() + b'\r\n'
@@ -114,7 +114,7 @@
         if route is None:
             self._refuse_unrouted(message, respond, 404, 'no-route')
             return None
-        first_attempt = self.recognition.first_attempt(message, route)
+        first_attempt = self.history.first_attempt(message, route)
         service = self._service_for(route, first_attempt)
         exchange = exchanges.Exchange(self, message, route, service, respond)
         self._apply_caller_deadline(exchange)
@@ -129,7 +129,7 @@
         )
         exchange.head = bytes(message.head) + self.caller_head
         self.in_flight += 1
-        if self.recognition.is_poison(message):
+        if self.history.is_poison(message):
             exchange.retry_after_s = POISON_RETRY_AFTER_S
             self._refuse(exchange, forwarding.Refusal.POISON)
             return None
@@ -366,7 +366,7 @@
         if outcome.status >= attempts.FAILED_STATUS:
             self._mark_failed_call(exchange)
         if outcome.status < attempts.FAILED_STATUS:
-            self.recognition.clear_answered(exchange.message)
+            self.history.clear_answered(exchange.message)
         self.log.answered(exchange, outcome.status)
         self._report_status(exchange, outcome.status)
         exchange.respond(
@@ -401,7 +401,7 @@
     ) -> None:
         self._mark_finished(exchange)
         self._mark_failed_call(exchange)
-        self.recognition.remember_refusal(exchange)
+        self.history.remember_refusal(exchange)
         self.log.ended(exchange, 'refused', '', reason.value)
         self._send_problem(
             exchange,
--- a/src/peridotpost/proxy/orders.py
+++ b/src/peridotpost/proxy/frameconversion.py
@@ -115,7 +115,7 @@
     )
 
 
-def status_of(
+def status_frame(
     status: instances.TargetStatus, load: int, failing: int
 ) -> frames.Status:
     """Return the frame for a target's status."""
@@ -130,7 +130,7 @@
     )
 
 
-def update_of(state: release.ReleaseState) -> frames.ReleaseUpdate:
+def release_update_frame(state: release.ReleaseState) -> frames.ReleaseUpdate:
     """Return the frame for a release coordinator's state."""
     order = state.order
     return frames.ReleaseUpdate(
@@ -149,7 +149,9 @@
     )
 
 
-def state_of(frame: frames.ReleaseUpdate) -> release.ReleaseState:
+def release_state_from_frame(
+    frame: frames.ReleaseUpdate,
+) -> release.ReleaseState:
     """Return the release coordinator's state in a frame."""
     order = release.ReleaseOrder(
         frame.service,
@@ -170,7 +172,7 @@
     )
 
 
-def report_frame(
+def release_report_frame(
     order: release.ReleaseOrder, report: release.TargetReport
 ) -> frames.ReleaseReport:
     """Return the frame for a target's report to the coordinator."""
@@ -188,7 +190,9 @@
     )
 
 
-def report_of(host: str, frame: frames.ReleaseReport) -> release.TargetReport:
+def target_report_from_frame(
+    host: str, frame: frames.ReleaseReport
+) -> release.TargetReport:
     """Return the report in a frame that `host` sent."""
     return release.TargetReport(
         host,
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -23,8 +23,8 @@
 from peridotpost.model import forwarding
 from peridotpost.model import instances
 from peridotpost.proxy import deadlines
+from peridotpost.proxy import headernames
 from peridotpost.proxy import http1
-from peridotpost.proxy import names
 from peridotpost.proxy import reachability
 from peridotpost.proxy import upstream
 
@@ -55,9 +55,9 @@
 
     def __init__(
         self,
-        header_names: names.HeaderNames,
+        header_names: headernames.HeaderNames,
         randomness: random.Random,
-        deadline_timer: deadlines.Deadlines,
+        deadline_timer: deadlines.DeadlineTimer,
         retry_budget: budget.RetryBudget,
         counts: counters.Counters,
         log: lines.LineLog,
@@ -65,7 +65,7 @@
         self.names = header_names
         self.deadline_timer = deadline_timer
         self.budget = retry_budget
-        self.siblings: Callable[[], int] = lambda: 1
+        self.target_count: Callable[[], int] = lambda: 1
         self.counts = counts
         self.log = log
         self.instances = incarnations.InstanceTracker()
@@ -76,7 +76,7 @@
         self.connecting: dict[forwarding.Order, asyncio.Task[None]] = {}
         self.awaiting_body: set[forwarding.Order] = set()
         self.expiries: dict[forwarding.Order, int] = {}
-        self.reach = reachability.Reachability(self, log)
+        self.reachability = reachability.Reachability(self, log)
         self.failures = failures.FailureRate()
         self.failing_reported_at = 0.0
         self.leaving = False
@@ -100,11 +100,13 @@
             current.service,
             current.instance,
             current.slots,
-            self.expects_target() and not self.reach.down,
+            self.expects_target() and not self.reachability.down,
             current.version,
         )
 
-    def announced(self, announcement: instances.Announcement) -> None:
+    def accept_announcement(
+        self, announcement: instances.Announcement
+    ) -> None:
         """Apply an announcement of the target; it is in force on return."""
         before = self.instances.current
         if not self.instances.offer(announcement):
@@ -119,7 +121,7 @@
         if is_new_instance:
             self.idle.close()
             self.failures = failures.FailureRate()
-            self.reach.instance_replaced()
+            self.reachability.instance_replaced()
             self.instance_header = (
                 self.names.instance
                 + b': '
@@ -151,11 +153,11 @@
             self._status_changed()
 
     @property
-    def is_idle(self) -> bool:
+    def has_no_work(self) -> bool:
         """Whether no order has a slot of the target."""
         return not (self.running or self.connecting or self.awaiting_body)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuse new work from now on; runs continue to their end."""
         self.leaving = True
         self._status_changed()
@@ -169,11 +171,11 @@
         if current.service != order.service:
             order.settle(forwarding.Refused(forwarding.Refusal.WRONG_SERVICE))
             return
-        if self.reach.down:
+        if self.reachability.down:
             order.settle(
                 forwarding.Refused(
                     forwarding.Refusal.UNREACHABLE,
-                    self.reach.reconnect_pause_s,
+                    self.reachability.reconnect_pause_s,
                 )
             )
             return
@@ -375,7 +377,7 @@
     def _has_budget(self, order: forwarding.Order, now: float) -> bool:
         if not order.repeat:
             return True
-        return self.budget.admits(order.repeat, self.siblings(), now)
+        return self.budget.admits(order.repeat, self.target_count(), now)
 
     def _refuse_repeat(self, order: forwarding.Order) -> None:
         self.counts.add('requests.no-retry-budget')
@@ -399,7 +401,7 @@
         else:
             verdict = self.queue.release(order, now)
         if isinstance(outcome, forwarding.Lost):
-            self.reach.answer_lost(order)
+            self.reachability.answer_lost(order)
         if connection is None or not connection.aborted:
             self._record_outcome(outcome, now)
             if self.run_ended.subscribers:
@@ -431,7 +433,7 @@
         if self.connecting.pop(order, None) is None:
             return
         self._clear_expiry(order)
-        self.reach.refused(error)
+        self.reachability.refused(error)
         self._apply_verdict(self.queue.release(order, deadlines.now()))
         order.settle(
             forwarding.Refused(
--- a/src/peridotpost/proxy/names.py
+++ b/src/peridotpost/proxy/headernames.py
@@ -24,7 +24,7 @@
 
     attempt: bytes
     deadline: bytes
-    proof: bytes
+    signature: bytes
     not_run: bytes
     instance: bytes
     caller: bytes
--- a/src/peridotpost/proxy/http1.py
+++ b/src/peridotpost/proxy/http1.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from peridotpost.proxy import names
+from peridotpost.proxy import headernames
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -92,7 +92,7 @@
     """
 
     def __init__(
-        self, header_names: names.HeaderNames, sink: MessageSink
+        self, header_names: headernames.HeaderNames, sink: MessageSink
     ) -> None:
         self.names = header_names
         self.sink = sink
@@ -133,7 +133,7 @@
         elif lower == b'host':
             message.host = value
             message.hosts += 1
-        elif lower == header_names.proof:
+        elif lower == header_names.signature:
             message.signed = True
         elif lower == header_names.not_run:
             message.not_run = True
--- a/src/peridotpost/proxy/listener.py
+++ b/src/peridotpost/proxy/listener.py
@@ -13,11 +13,11 @@
 
 from peridotpost.model import mesh
 from peridotpost.proxy import deadlines
+from peridotpost.proxy import headernames
 from peridotpost.proxy import http1
-from peridotpost.proxy import names
 
 BACKLOG = 1024
-SWEEP_S = 1.0
+CHECK_INTERVAL_S = 1.0
 IDLE_SLACK_S = 1.0
 """Connections are kept open this much longer than their limits, so that a
 request sent just before a limit does not race with the close."""
@@ -188,7 +188,7 @@
     """One listening port and its connections."""
 
     def __init__(
-        self, header_names: names.HeaderNames, handle: Handler
+        self, header_names: headernames.HeaderNames, handle: Handler
     ) -> None:
         self.names = header_names
         self.handle = handle
@@ -201,7 +201,7 @@
     def busy(self) -> int:
         return sum(connection.busy for connection in self.connections)
 
-    def check(self) -> None:
+    def close_timed_out(self) -> None:
         now = deadlines.now()
         for connection in list(self.connections):
             connection.close_if_timed_out(now)
--- a/src/peridotpost/proxy/peers.py
+++ b/src/peridotpost/proxy/peers.py
@@ -12,9 +12,9 @@
 from peridotpost.model import forwarding
 from peridotpost.model import instances
 from peridotpost.proxy import deadlines
+from peridotpost.proxy import frameconversion
 from peridotpost.proxy import frames
 from peridotpost.proxy import guard as guards
-from peridotpost.proxy import orders
 
 CONNECT_TIMEOUT_S = 0.6
 """Ten times the longest round trip between zones."""
@@ -34,7 +34,7 @@
 """The same for a stream to another zone, where traffic is expensive.  A stream
 that died unnoticed is detected by the first request on it, within
 ``PING_AFTER_S`` plus ``REROUTE_AFTER_S``."""
-SWEEP_S = 0.1
+CHECK_INTERVAL_S = 0.1
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024
 """Limit of the write buffer; a peer that stops reading is disconnected."""
 
@@ -49,7 +49,7 @@
     def hello(self, compressed: bool) -> frames.Hello:
         """Return the first frame to send."""
 
-    def is_far(self, availability_zone: str) -> bool:
+    def is_remote_zone(self, availability_zone: str) -> bool:
         """Whether a zone is not this host's own, so traffic is expensive."""
 
     def met(self, stream: 'PeerStream', hello: frames.Hello) -> None:
@@ -112,7 +112,7 @@
 
     def _send_hello(self) -> None:
         """Send `Hello`; later frames to another zone are compressed."""
-        far = self.owner.is_far(self.zone)
+        far = self.owner.is_remote_zone(self.zone)
         assert self.transport is not None
         self.transport.write(frames.encode(self.owner.hello(far)))
         if far:
@@ -157,7 +157,7 @@
         if not self.sent:
             self.unanswered_since = now
         self.sent[number] = order
-        self.send(orders.dispatch_frame(number, order, now))
+        self.send(frameconversion.dispatch_frame(number, order, now))
 
     def withdraw(self, order: forwarding.Order) -> None:
         """Tell the peer that the outcome of `order` is no longer needed."""
@@ -246,7 +246,7 @@
             self.received.pop(number, None)
             self._reply(dispatch, outcome)
 
-        order = orders.order_from_frame(dispatch, now, done)
+        order = frameconversion.order_from_frame(dispatch, now, done)
         if dispatch.body_later:
             order.fetch_body = lambda: self.send(frames.BodyWanted(number))
         self.received[number] = order
@@ -262,7 +262,7 @@
     ) -> None:
         run_s = self.guard.queue.times.expected_s(dispatch.route)
         self.send(
-            orders.outcome_frame(
+            frameconversion.outcome_frame(
                 dispatch.number,
                 outcome,
                 self._load_percent(),
@@ -280,12 +280,14 @@
     def _answer_received(self, answer: frames.Answered) -> None:
         self._report_load(answer.load, answer.failing)
         self._report_run(answer.number, answer.run_ms)
-        self._settle(answer.number, orders.answer_from_frame(answer))
+        self._settle(answer.number, frameconversion.answer_from_frame(answer))
 
     def _refusal_received(self, refusal: frames.RefusedFrame) -> None:
         self._report_load(refusal.load, refusal.failing)
         self._report_run(refusal.number, refusal.run_ms)
-        self._settle(refusal.number, orders.refusal_from_frame(refusal))
+        self._settle(
+            refusal.number, frameconversion.refusal_from_frame(refusal)
+        )
 
     def _report_load(self, load: int, failing: int) -> None:
         if self.on_load is not None:
@@ -301,7 +303,7 @@
         if order is not None:
             order.settle(outcome)
 
-    def check(self, now: float) -> None:
+    def check_liveness(self, now: float) -> None:
         """Ping a silent peer, and close the stream if it stays silent.
 
         A daemon that is shutting down keeps waiting for outstanding dispatches
--- a/src/peridotpost/proxy/upstream.py
+++ b/src/peridotpost/proxy/upstream.py
@@ -9,8 +9,8 @@
 
 from peridotpost.model import forwarding
 from peridotpost.proxy import deadlines
+from peridotpost.proxy import headernames
 from peridotpost.proxy import http1
-from peridotpost.proxy import names
 
 CONNECT_TIMEOUT_S = 0.5
 """A target on the same host accepts a connection in about a millisecond; one
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, header_names: names.HeaderNames, left: ReleaseCallback
+        self, header_names: headernames.HeaderNames, left: ReleaseCallback
     ) -> None:
         self.names = header_names
         self.left = left
@@ -237,7 +237,7 @@
 async def connect(
     address: str,
     port: int,
-    header_names: names.HeaderNames,
+    header_names: headernames.HeaderNames,
     left: ReleaseCallback,
 ) -> TargetConnection:
     """Open a connection to a target.
--- a/testing/test_deadlines.py
+++ b/testing/test_deadlines.py
@@ -25,7 +25,7 @@
 
     Its time slot was dropped as empty while the timer was being armed.
     """
-    timer = deadlines.Deadlines()
+    timer = deadlines.DeadlineTimer()
     expired: list[int] = []
     all_expired = asyncio.Event()
 
--- a/testing/test_deltas.py
+++ b/testing/test_deltas.py
@@ -23,7 +23,7 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(old=TEXT, new=TEXT)
 def test_applied_delta_gives_the_new_text(old: bytes, new: bytes) -> None:
-    packed = deltas.pack(deltas.make(old, new))
+    packed = deltas.pack(deltas.diff(old, new))
     assert deltas.apply(old, deltas.unpack(packed)) == new
 
 
@@ -34,13 +34,13 @@
     del routes[20]
     routes.insert(900, {'name': 'new', 'timeout': 5})
     new = json.dumps(routes, separators=(',', ':')).encode()
-    delta = deltas.make(old, new)
+    delta = deltas.diff(old, new)
     assert len(msgspec.msgpack.encode(delta)) < 200
     assert deltas.apply(old, delta) == new
 
 
 def test_delta_on_another_base_is_refused() -> None:
-    delta = deltas.make(b'{"a":1},{"b":2}', b'{"a":1},{"b":3}')
+    delta = deltas.diff(b'{"a":1},{"b":2}', b'{"a":1},{"b":3}')
     with pytest.raises(deltas.BadDelta):
         deltas.apply(b'{"z":1},{"b":2}', delta)
 
@@ -57,7 +57,7 @@
         for n in range(1000)
     ]
     new = json.dumps({'routes': routes}).encode()
-    packed = deltas.pack(deltas.make(old, new))
+    packed = deltas.pack(deltas.diff(old, new))
     assert len(packed) < len(new) / 4
     assert deltas.apply(old, deltas.unpack(packed)) == new
 
--- a/testing/test_peer_streams.py
+++ b/testing/test_peer_streams.py
@@ -62,12 +62,12 @@
         for name, idempotent in (('read', True), ('write', False)):
             stream.dispatch(_order(name, idempotent, outcomes))
         now = deadlines.now()
-        stream.check(now + peers.PING_AFTER_S * 1.1)
+        stream.check_liveness(now + peers.PING_AFTER_S * 1.1)
         assert stream.suspect and not outcomes
-        stream.check(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
+        stream.check_liveness(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
         assert isinstance(outcomes.pop('read'), forwarding.Lost)
         assert not outcomes
-        stream.check(stream.pinged_at + peers.CLOSE_AFTER_S * 1.1)
+        stream.check_liveness(stream.pinged_at + peers.CLOSE_AFTER_S * 1.1)
         await conditions.until(lambda: 'write' in outcomes)
         assert isinstance(outcomes['write'], forwarding.Lost)
         await conditions.until(
@@ -142,8 +142,8 @@
         order = _order('read', True, outcomes)
         order.may_move = lambda: False
         stream.dispatch(order)
-        stream.check(deadlines.now() + peers.PING_AFTER_S * 1.1)
-        stream.check(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
+        stream.check_liveness(deadlines.now() + peers.PING_AFTER_S * 1.1)
+        stream.check_liveness(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
         assert not outcomes
 
 
@@ -162,10 +162,10 @@
         outcomes: dict[str, forwarding.Outcome] = {}
         for name, idempotent in (('read', True), ('write', False)):
             stream.dispatch(_order(name, idempotent, outcomes))
-        stream.check(deadlines.now() + peers.PING_AFTER_S * 1.1)
+        stream.check_liveness(deadlines.now() + peers.PING_AFTER_S * 1.1)
         assert stream.pinged_at
-        stream.check(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
-        stream.check(stream.pinged_at + peers.CLOSE_AFTER_S * 1.1)
+        stream.check_liveness(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
+        stream.check_liveness(stream.pinged_at + peers.CLOSE_AFTER_S * 1.1)
         assert not outcomes
         assert not stream.transport.is_closing()
 
--- a/testing/test_proxy_bodies.py
+++ b/testing/test_proxy_bodies.py
@@ -106,13 +106,13 @@
             caller.send('/write/ok', method='POST', attempt='w1', body=BODY)
             await conditions.until(lambda: bool(held))
             assert far.proxy.guard.queue.running == 1
-            assert not far.proxy.guard.is_idle
+            assert not far.proxy.guard.has_no_work
             if ends == 'caller leaves':
                 caller.writer.close()
             else:
                 await far.announce(state='draining')
                 wanted(*held[0])
-            await conditions.until(lambda: far.proxy.guard.is_idle)
+            await conditions.until(lambda: far.proxy.guard.has_no_work)
         assert far.proxy.guard.queue.running == 0
         assert far.worker.runs == []
 
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -237,7 +237,8 @@
             crashed = sum(one.worker.server is None for one in hosts)
             await conditions.until(
                 lambda crashed=crashed: (  # type: ignore[misc]
-                    sum(one.proxy.guard.reach.down for one in hosts) == crashed
+                    sum(one.proxy.guard.reachability.down for one in hosts)
+                    == crashed
                 )
             )
         alive = [one for one in hosts if one.worker.server is not None]
--- a/testing/test_releases.py
+++ b/testing/test_releases.py
@@ -133,7 +133,9 @@
         await order(mesh)
         await has_status(mesh, 'running v2')
         await has_status(mesh, 'completed v2')
-        assert all(mesh.hosts[name].proxy.guard.is_idle for name in ('a', 'b'))
+        assert all(
+            mesh.hosts[name].proxy.guard.has_no_work for name in ('a', 'b')
+        )
         before, new = runs(mesh, 'a', 'b'), runs(mesh, 'c', 'd')
         await conditions.until(lambda: runs(mesh, 'c', 'd') >= new + 100)
         assert runs(mesh, 'a', 'b') == before
--- a/testing/test_returning.py
+++ b/testing/test_returning.py
@@ -143,7 +143,7 @@
         await running_mesh.ready()
         assert (await host.ask('/read/hold', attempt='a1')).status == 503
         (first_attempt,) = (
-            host.proxy.forwarder.recognition.refused.by_fingerprint.values()
+            host.proxy.forwarder.history.refused.by_fingerprint.values()
         )
         await host.announce()
         await running_mesh.ready()
