--- a/bench/releases.py
+++ b/bench/releases.py
@@ -140,7 +140,7 @@
 ) -> ReleaseOutcome:
     """Simulate one release until some seconds after its deadline."""
     plan = releaseplan.ReleasePlan(ORDER, EXPOSURE, 0.0, 0.0)
-    plan.verdict = test  # type: ignore[assignment]
+    plan.judge = test  # type: ignore[assignment]
     ingresses = [releasesplit.ReleaseSplit() for _ in range(INGRESSES)]
     old = {route: release.RouteRuns() for route in ROUTES}
     new = {route: release.RouteRuns() for route in ROUTES}
@@ -167,7 +167,7 @@
     now: float,
 ) -> None:
     is_draining = plan.stage is release.Stage.DRAIN
-    drained = is_draining and now - plan.stage_at >= DRAIN_RUN_S
+    drained = is_draining and now - plan.stage_entered_at >= DRAIN_RUN_S
     reports = [
         release.TargetReport('a', 'v1', drained, old),
         release.TargetReport('b', 'v2', False, new),
@@ -196,7 +196,7 @@
     route = randomness.choices(list(ROUTES), list(ROUTES.values()))[0]
     state = ingress.state('bonds')
     is_completed = state is not None and state.stage is release.Stage.COMPLETED
-    to_new = is_completed or ingress.takes_canary('bonds', now)
+    to_new = is_completed or ingress.spend_canary_credit('bonds', now)
     before_deadline = now < DURATION_S
     outcome.total_requests += before_deadline
     if not to_new:
@@ -215,7 +215,7 @@
 
 def main(trials: int) -> None:
     """Simulate `trials` releases of each kind; print a table per test."""
-    for name, make in (('cusum', verdict.Verdict), ('z-test', ZTest)):
+    for name, make in (('cusum', verdict.CanaryJudge), ('z-test', ZTest)):
         print(f'{name:24} back  over bound  after 50th s  in time')
         for kind, behaviours in VERSION_KINDS.items():
             outcomes = [
--- a/src/peridotpost/decisions/releaseplan.py
+++ b/src/peridotpost/decisions/releaseplan.py
@@ -78,10 +78,10 @@
         self.exposure = exposure
         self.started = started
         self.stage = stage
-        self.stage_at = now
+        self.stage_entered_at = now
         self.created_at = now
         self.last_step_at = now
-        self.verdict = verdict.Verdict()
+        self.judge = verdict.CanaryJudge()
         self.finding: verdict.Finding | None = None
 
     @property
@@ -107,13 +107,13 @@
         new = [report for report in view.reports if report.version == version]
         old = [report for report in view.reports if report.version != version]
         new_runs = verdict.runs_by_route(new)
-        self.finding = self.verdict.judge(verdict.runs_by_route(old), new_runs)
+        self.finding = self.judge.judge(verdict.runs_by_route(old), new_runs)
         if self.finding is not None:
             self._enter(release.Stage.ROLLED_BACK, now)
         elif self.stage is release.Stage.CANARY:
             self._step_canary(view, new_runs, now)
         elif self.stage is release.Stage.SHIFT:
-            if now - self.stage_at >= len(SHIFT_SHARES) * SHIFT_STEP_S:
+            if now - self.stage_entered_at >= len(SHIFT_SHARES) * SHIFT_STEP_S:
                 self._enter(release.Stage.DRAIN, now)
 
     def is_drained(self, view: FleetView) -> bool:
@@ -133,7 +133,7 @@
         if self.stage is release.Stage.CANARY:
             return CANARY_EXPOSURE_FRACTION * self.exposure
         if self.stage is release.Stage.SHIFT:
-            step = int((now - self.stage_at) / SHIFT_STEP_S)
+            step = int((now - self.stage_entered_at) / SHIFT_STEP_S)
             return SHIFT_SHARES[min(step, len(SHIFT_SHARES) - 1)]
         return 0.0 if self.stage is release.Stage.ROLLED_BACK else 1.0
 
@@ -172,4 +172,4 @@
 
     def _enter(self, stage: release.Stage, now: float) -> None:
         self.stage = stage
-        self.stage_at = now
+        self.stage_entered_at = now
--- a/src/peridotpost/decisions/releasesplit.py
+++ b/src/peridotpost/decisions/releasesplit.py
@@ -97,7 +97,7 @@
         known_release = self.releases.get(service)
         return known_release.heard if known_release is not None else 0.0
 
-    def takes_canary(self, service: str, now: float) -> bool:
+    def spend_canary_credit(self, service: str, now: float) -> bool:
         """Whether the next request goes to the new version; spends credit."""
         known_release = self.releases.get(service)
         if known_release is None or known_release.state.stage.is_final:
@@ -136,7 +136,7 @@
             return is_new
         return state.stage >= release.Stage.DRAIN and not is_new
 
-    def allowed(
+    def eligible_targets(
         self,
         service: str,
         candidates: Collection[targetstate.Candidate],
--- a/src/peridotpost/decisions/verdict.py
+++ b/src/peridotpost/decisions/verdict.py
@@ -103,7 +103,7 @@
     runs: int
 
 
-class Verdict:
+class CanaryJudge:
     """Evaluates the new version of one release as its runs are reported."""
 
     def __init__(self) -> None:
--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -36,11 +36,11 @@
 from peridotpost.proxy import peers
 
 MS_IN_S = 1000
-OUT_OF_ROTATION_S = 2.6
+LISTEN_STOP_DELAY_S = 2.6
 """Delay from the stop request until the ports stop listening.  Readiness is
 polled about once a second and two failed polls take the host out of rotation;
 the rest allows for a poller that is slow."""
-GUARD_STOPS_S = 1.5
+GUARD_STOP_DELAY_S = 1.5
 """Delay from the stop request until the guard refuses new work: early enough
 for running requests to end within the grace period, late enough not to leave
 the target idle needlessly."""
@@ -72,7 +72,7 @@
         self.counts = counters.Counters()
         self.randomness = random.Random()
         self.ports: list[listener.Port] = []
-        self.own = self._own_record()
+        self.own_record = self._own_record()
         self._build()
 
     def _own_record(self) -> instances.HostRecord:
@@ -102,7 +102,7 @@
             self.log,
         )
         self.directory = directories.Directory(
-            self.own, self.guard, self.randomness, self.counts, self.log
+            self.own_record, self.guard, self.randomness, self.counts, self.log
         )
         split = releasesplit.ReleaseSplit()
         self.forwarder = forwarders.Forwarder(
@@ -128,7 +128,7 @@
         )
         self.feed = storefeed.StoreFeed(
             countedfeed.CountedFeed(self.adapter.feed, self.counts),
-            self.own,
+            self.own_record,
             self.directory,
             self.versions,
             self.randomness,
@@ -252,11 +252,11 @@
         end = started + GRACE_FRACTION * self.settings.shutdown.grace_s
         self.directory.leaving = True
         self.log.state('stage', to='leaving', in_flight=self._in_flight())
-        await asyncio.sleep(GUARD_STOPS_S)
+        await asyncio.sleep(GUARD_STOP_DELAY_S)
         self.guard.stop_accepting()
         self.requests.closing = True
         withdrawing = asyncio.ensure_future(self.feed.withdraw())
-        await asyncio.sleep(OUT_OF_ROTATION_S - GUARD_STOPS_S)
+        await asyncio.sleep(LISTEN_STOP_DELAY_S - GUARD_STOP_DELAY_S)
         # Callers may keep sending, so this process may never become idle, and
         # the last requests would be cut off at the end of the grace period.
         self.requests.stop_listening()
@@ -325,7 +325,9 @@
         incident = time.time_ns()
         names = list(fingerprints)
         self.log.state('crash', fingerprints=names, incident=incident)
-        self.forwarder.history.crashed(names, self.own.host, str(incident))
+        self.forwarder.history.crashed(
+            names, self.own_record.host, str(incident)
+        )
         self.directory.broadcast(frames.Crash(incident, names))
 
     def _handle_frame(self, received: directories.ReceivedFrame) -> None:
--- a/src/peridotpost/mesh/directory.py
+++ b/src/peridotpost/mesh/directory.py
@@ -179,9 +179,9 @@
                 peer.recorded = False
                 peer.record_missing_since = now
         for record in records:
-            self.learn(record, recorded=True)
+            self.add_record(record, recorded=True)
 
-    def learn(
+    def add_record(
         self, record: instances.HostRecord, recorded: bool = False
     ) -> None:
         """Add or update a daemon's record, from the store or a peer."""
@@ -254,7 +254,7 @@
             self._replace_older(stream, hello.host)
             self.accepted.add(stream)
             stream.send(self._own_status())
-            self.learn(_record_from(hello))
+            self.add_record(_record_from(hello))
         self.stream_greeted.fire(stream)
 
     def _replace_older(self, stream: peers.PeerStream, host: str) -> None:
@@ -415,7 +415,7 @@
             stream.send(frames.Known([self.hello(False), *self.hosts()]))
             return
         for hello in frame.hosts:
-            self.learn(_record_from(hello))
+            self.add_record(_record_from(hello))
 
 
 def _address_of(record: instances.HostRecord) -> str:
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -124,7 +124,7 @@
             exchange.patient_until = first_attempt.until
             exchange.objective -= exchange.started - first_attempt.at
         exchange.parent = self._parent_run(message)
-        exchange.new_version = self.releases.takes_canary(
+        exchange.new_version = self.releases.spend_canary_credit(
             service, exchange.started
         )
         exchange.head = bytes(message.head) + self.caller_head
@@ -245,13 +245,15 @@
         now = deadlines.now()
         candidates = list(self.backends.candidates(service))
         if exchange.new_version:
-            allowed = self.releases.allowed(service, candidates, True, now)
+            allowed = self.releases.eligible_targets(
+                service, candidates, True, now
+            )
             if any(
                 self._is_untried(exchange, candidate) for candidate in allowed
             ):
                 return allowed
             exchange.new_version = False
-        return self.releases.allowed(service, candidates, False, now)
+        return self.releases.eligible_targets(service, candidates, False, now)
 
     @staticmethod
     def _is_untried(
--- a/testing/test_peer_streams.py
+++ b/testing/test_peer_streams.py
@@ -109,7 +109,7 @@
     async with proxies.pair() as (_, first, second):
         peer = first.proxy.directory.peers['b']
         before = peer.stream
-        record = second.proxy.own
+        record = second.proxy.own_record
         newer = type(record)(
             record.host,
             record.availability_zone,
@@ -117,7 +117,7 @@
             record.port,
             record.incarnation + 1,
         )
-        first.proxy.directory.learn(newer, recorded=True)
+        first.proxy.directory.add_record(newer, recorded=True)
         await conditions.until(
             lambda: peer.stream is not None and peer.stream is not before
         )
@@ -193,14 +193,14 @@
         stream = peer.stream
         assert stream is not None
         await conditions.until(lambda: stream.incarnation > 0)
-        record = second.proxy.own
+        record = second.proxy.own_record
         peer.record = dataclasses.replace(
             record, incarnation=record.incarnation - 1
         )
         newer_record = dataclasses.replace(
             record, incarnation=record.incarnation + newer_by
         )
-        directory.learn(newer_record, recorded=True)
+        directory.add_record(newer_record, recorded=True)
         assert peer.record == newer_record
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -215,5 +215,5 @@
         await conditions.until(lambda: stream.incarnation > 0)
         peer.record = dataclasses.replace(peer.record, incarnation=1)
         first.proxy.directory.met(stream, second.proxy.directory.hello(False))
-        assert peer.record == second.proxy.own
+        assert peer.record == second.proxy.own_record
         assert peer.stream is stream
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -121,7 +121,7 @@
     async with proxies.pair() as (mesh, first, second):
         mesh.kv.status = 503
         second.proxy.directory.close()
-        record = second.proxy.own
+        record = second.proxy.own_record
         again = await mesh.start_proxy(
             'b',
             second.address,
@@ -130,8 +130,8 @@
             second.worker,
         )
         known = first.proxy.directory.peers['b']
-        known.record = again.proxy.own
-        assert again.proxy.own.incarnation >= record.incarnation
+        known.record = again.proxy.own_record
+        assert again.proxy.own_record.incarnation >= record.incarnation
         await conditions.until(lambda: again.proxy.versions.version == 1)
         await conditions.until(
             lambda: (
@@ -221,7 +221,7 @@
         mesh.kv.status = 503
         third = await mesh.add('c')
         for host in (first, second):
-            host.proxy.directory.learn(third.proxy.own)
+            host.proxy.directory.add_record(third.proxy.own_record)
         await conditions.until(functools.partial(_has, [third], 1))
         assert third.proxy.counts.totals['config.fetched'] == 1
 
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -296,7 +296,7 @@
         async with first.caller() as caller:
             caller.send('/read/hold', attempt='held')
             await second.worker.began.wait()
-            wrong = dataclasses.replace(second.proxy.own, host='gone')
+            wrong = dataclasses.replace(second.proxy.own_record, host='gone')
             again = await peers.dial(directory, first.proxy.guard, wrong)
             await conditions.until(lambda: again.closed)
             second.worker.release.set()
@@ -308,14 +308,14 @@
     """A host's record outlives the host, and a new host has its address."""
     async with proxies.pair() as (_mesh, first, second):
         gone = dataclasses.replace(
-            second.proxy.own,
+            second.proxy.own_record,
             host='gone',
-            incarnation=second.proxy.own.incarnation - 1,
+            incarnation=second.proxy.own_record.incarnation - 1,
         )
         for host in (first, second):
             directory = host.proxy.directory
             dialled = host.proxy.counts.totals['peers.dialled']
-            directory.learn(gone, recorded=True)
+            directory.add_record(gone, recorded=True)
             directory.sweep()
             assert directory.peers['gone'].dialling is None
             assert 'gone' not in [one.host for one in directory.hosts()]
--- a/testing/test_releasesplit.py
+++ b/testing/test_releasesplit.py
@@ -47,7 +47,7 @@
     known: list[targetstate.Candidate] = KNOWN,
     now: float = 100.0,
 ) -> str:
-    targets = split.allowed('bonds', known, new, now)
+    targets = split.eligible_targets('bonds', known, new, now)
     return ''.join(candidate.host for candidate in targets)
 
 
@@ -91,7 +91,7 @@
             fresh.offer(state(), 0.0)
             fleet[randomness.randrange(70)] = fresh
         ingress = randomness.choice(fleet)
-        is_new = ingress.takes_canary('bonds', 0.1)
+        is_new = ingress.spend_canary_credit('bonds', 0.1)
         ingress.ran('bonds', 'v2' if is_new else 'v1')
         new += is_new
         total += 1
@@ -103,9 +103,11 @@
     split = releasesplit.ReleaseSplit()
     split.offer(state(share=0.5), 0.0)
     split.ran('bonds', 'v1')
-    assert split.takes_canary('bonds', 1.0)
+    assert split.spend_canary_credit('bonds', 1.0)
     split.ran('bonds', 'v1')
-    assert not split.takes_canary('bonds', releasesplit.UPDATE_TIMEOUT_S + 0.1)
+    assert not split.spend_canary_credit(
+        'bonds', releasesplit.UPDATE_TIMEOUT_S + 0.1
+    )
 
 
 def test_the_focus_gets_the_canary_share() -> None:
--- a/testing/test_verdict.py
+++ b/testing/test_verdict.py
@@ -19,7 +19,7 @@
 ) -> int | None:
     """Return the bad runs until detection; None if it is not detected."""
     randomness = random.Random(seed)
-    judge = verdict.Verdict()
+    judge = verdict.CanaryJudge()
     old = {route: release.RouteRuns() for route in routes}
     new = {route: release.RouteRuns() for route in routes}
     good = releaseload.Behaviour()
@@ -102,7 +102,7 @@
     """Downstream calls fail, and with them a third of the runs of both."""
     randomness = random.Random(7)
     behaviour = releaseload.Behaviour(failing=0.33)
-    judge = verdict.Verdict()
+    judge = verdict.CanaryJudge()
     old, new = release.RouteRuns(), release.RouteRuns()
     for tick in range(120):
         for _ in range(OLD_RATE):
@@ -115,7 +115,7 @@
 def test_a_busy_process_is_not_a_slow_version() -> None:
     """Runs of 2 ms take 8 ms on a new target that gets all requests."""
     randomness = random.Random(3)
-    judge = verdict.Verdict()
+    judge = verdict.CanaryJudge()
     old, new = release.RouteRuns(), release.RouteRuns()
     usual = releaseload.Behaviour(work_s=0.002)
     busy = releaseload.Behaviour(work_s=0.004)
