--- a/demo/drive.py
+++ b/demo/drive.py
@@ -154,7 +154,9 @@
         service = services[number % len(services)]
         method = 'GET' if spec.services[service].idempotent else 'POST'
         host = plan.hosts[number % len(plan.hosts)]
-        key = idempotency.mint(time.time_ns() // 1_000_000, randomness).text
+        key = idempotency.generate_key(
+            time.time_ns() // 1_000_000, randomness
+        ).text
         pending_calls.append(send_call(client, host, service, method, key))
     try:
         return await asyncio.gather(*pending_calls)
--- a/src/peridotpost/calls/connections.py
+++ b/src/peridotpost/calls/connections.py
@@ -23,7 +23,7 @@
 """Shorter than the usual idle timeouts of HTTP servers, so that a request
 is not written to a connection that the target is closing."""
 LOOPBACK = '127.0.0.1'
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """On loopback a connection is only delayed by a full backlog, after which
 the kernel retries within a second."""
 SHUTDOWN_DETECTION_S = 0.05
@@ -308,7 +308,9 @@
 
     async def _connect(self, port: int) -> iostream.IOStream:
         try:
-            stream = await dialling.open_stream(LOOPBACK, port, CONNECT_S)
+            stream = await dialling.open_stream(
+                LOOPBACK, port, CONNECT_TIMEOUT_S
+            )
         except OSError as error:
             raise ConnectFailed(str(error)) from error
         self.counts.add('connection.opened')
--- a/src/peridotpost/calls/gates.py
+++ b/src/peridotpost/calls/gates.py
@@ -49,7 +49,7 @@
 
     def __init__(self, clock: timers.TimerService) -> None:
         self.clock = clock
-        self.held: dict[tuple[str, str], TargetGate] = {}
+        self.by_target: dict[tuple[str, str], TargetGate] = {}
 
     def for_target(
         self, target: local.LocalTarget, spec: config.ServiceSpec
@@ -58,27 +58,27 @@
         key = (target.service, target.name)
         # Each slot needs a connection, so the lower limit applies.
         slots = min(target.slots, target.connections)
-        target_gate = self.held.get(key)
+        target_gate = self.by_target.get(key)
         if target_gate is None:
             gate = admission.Gate(
                 slots, spec.limits.queue, self.clock.randomness
             )
-            target_gate = self.held[key] = TargetGate(gate, {})
+            target_gate = self.by_target[key] = TargetGate(gate, {})
         target_gate.gate.slots = slots
         target_gate.gate.queue = spec.limits.queue
         return target_gate
 
     def load_of(self, key: tuple[str, str]) -> float:
         """Return the running and waiting calls of a target, per slot."""
-        target_gate = self.held.get(key)
+        target_gate = self.by_target.get(key)
         return target_gate.gate.load() if target_gate is not None else 0.0
 
     def discard_gone(self, present: Collection[tuple[str, str]]) -> None:
         """Remove the gates of absent targets that have no calls left."""
-        for key, one in tuple(self.held.items()):
+        for key, one in tuple(self.by_target.items()):
             busy = one.gate.running or one.gate.waiting
             if key not in present and not busy:
-                del self.held[key]
+                del self.by_target[key]
 
     async def acquire_slot(
         self, gate: TargetGate, ticket: fairness.Ticket
--- a/src/peridotpost/calls/ingress.py
+++ b/src/peridotpost/calls/ingress.py
@@ -83,7 +83,7 @@
         self.randomness = randomness
         self.for_targets = for_targets
         self.in_flight = 0
-        self.held_bytes = 0
+        self.buffered_bytes = 0
 
     @property
     def leaving(self) -> bool:
@@ -243,7 +243,7 @@
             calls.NotRunReason.NOT_READY, 'non-idempotent calls are not served'
         )
     if given is None:
-        return keyed.mint()
+        return keyed.generate_key()
     try:
         return idempotency.parse(given).text
     except idempotency.BadKey as error:
--- a/src/peridotpost/calls/owner.py
+++ b/src/peridotpost/calls/owner.py
@@ -15,9 +15,9 @@
 import eliot
 
 from peridotpost.calls import frames
-from peridotpost.calls import heirs as handovers
+from peridotpost.calls import ledger_handover as handovers
 from peridotpost.calls import peers
-from peridotpost.calls import views
+from peridotpost.calls import schedule_keeper
 from peridotpost.decisions import idempotency
 from peridotpost.decisions import ownership
 from peridotpost.distribution import replica as replicas
@@ -41,7 +41,7 @@
         zone: str,
         dispatch: DispatchCall,
         streams: peers.PeerStreams,
-        keeper: views.ScheduleKeeper,
+        keeper: schedule_keeper.ScheduleKeeper,
         myself: own.LocalMember,
         events: timeline.Timeline,
         counts: counters.Counters,
@@ -85,9 +85,9 @@
             self.process.incarnations | {record.incarnation},
         )
 
-    def mint(self) -> str:
+    def generate_key(self) -> str:
         """Return a new key, owned by this host, for a call without one."""
-        key = idempotency.mint(
+        key = idempotency.generate_key(
             self.keeper.now_ms(),
             self.randomness,
             self.zone,
--- a/src/peridotpost/calls/requests.py
+++ b/src/peridotpost/calls/requests.py
@@ -21,7 +21,7 @@
 from peridotpost.model import calls
 
 MAX_BODY_BYTES = 16_777_216
-MAX_HELD_BYTES = 67_108_864
+MAX_BUFFERED_BYTES = 67_108_864
 """A quarter of the 256 MB that a daemon may use."""
 MEMORY_RETRY_MS = 1000
 MAX_NUMBER_DIGITS = 18
@@ -36,7 +36,7 @@
 
     counts: counters.Counters
     in_flight: int
-    held_bytes: int
+    buffered_bytes: int
 
     @property
     def leaving(self) -> bool:
@@ -105,18 +105,18 @@
         # closing the connection earlier would reset it, and a caller that
         # is still sending would lose the answer.
         self.size += len(chunk)
-        if self.ingress.held_bytes + len(chunk) > MAX_HELD_BYTES:
+        if self.ingress.buffered_bytes + len(chunk) > MAX_BUFFERED_BYTES:
             self.memory_exceeded = True
         if self.memory_exceeded or self.size > self.limit:
             self._discard_body()
             return
         self.chunks.append(chunk)
         self.buffered += len(chunk)
-        self.ingress.held_bytes += len(chunk)
+        self.ingress.buffered_bytes += len(chunk)
 
     def _discard_body(self) -> None:
         self.chunks.clear()
-        self.ingress.held_bytes -= self.buffered
+        self.ingress.buffered_bytes -= self.buffered
         self.buffered = 0
 
     def finish(self) -> None:
--- a/src/peridotpost/calls/router.py
+++ b/src/peridotpost/calls/router.py
@@ -24,7 +24,7 @@
 class KeyedCalls(Protocol):
     """Routes non-idempotent calls to the owners of their keys."""
 
-    def mint(self) -> str: ...
+    def generate_key(self) -> str: ...
 
     async def route(self, call: calls.Call) -> calls.Outcome: ...
 
@@ -51,7 +51,7 @@
         self.counts = counts
         self.zone = zone
         self.randomness = randomness
-        self.book = loadbalancing.LoadTracker()
+        self.load_tracker = loadbalancing.LoadTracker()
         self.ejector = ejection.Ejector(zone, randomness)
         self.retry_budgets: dict[str, retry.RetryBudget] = {}
         self.keyed: KeyedCalls | None = None
@@ -151,12 +151,12 @@
         if not call.idempotent:
             attempt = call.attempt + len(tried)
             call = dataclasses.replace(call, attempt=attempt)
-        self.book.sent(key)
+        self.load_tracker.sent(key)
         self.ejector.note_attempt(key, self.clock.now())
         try:
             outcome = await self._send(call, endpoint)
         finally:
-            self.book.settled(key)
+            self.load_tracker.settled(key)
         await self._record_outcome(call, endpoint, outcome)
         return outcome
 
@@ -211,7 +211,7 @@
 
     def _record_load(self, report: peers.LoadReport) -> None:
         key = f'{report.peer}/{report.target}'
-        self.book.report(key, report.load, self.clock.now())
+        self.load_tracker.report(key, report.load, self.clock.now())
 
     def _choose(
         self, call: calls.Call, tried: set[str]
@@ -232,12 +232,17 @@
         now: float,
     ) -> routing.Endpoint | None:
         return loadbalancing.choose(
-            endpoints, self.zone, self.book, excluded, now, self.randomness
+            endpoints,
+            self.zone,
+            self.load_tracker,
+            excluded,
+            now,
+            self.randomness,
         )
 
     def _clean_up(self) -> None:
         now = self.clock.now()
-        self.book.forget(now)
+        self.load_tracker.forget(now)
         self.ejector.forget(now)
         self.guard.poison.forget(now)
         self.guard.discard_gone()
@@ -247,7 +252,7 @@
     ) -> calls.Outcome:
         if endpoint.host == self.replica.host:
             outcome = await self.guard.run(call, endpoint.name)
-            self.book.report(
+            self.load_tracker.report(
                 loadbalancing.target_key(endpoint),
                 self.guard.load_of(call.service, endpoint.name),
                 self.clock.now(),
--- a/src/peridotpost/daemon/calls.py
+++ b/src/peridotpost/daemon/calls.py
@@ -14,7 +14,7 @@
 from peridotpost.calls import peer_server
 from peridotpost.calls import peers
 from peridotpost.calls import router as routers
-from peridotpost.calls import views
+from peridotpost.calls import schedule_keeper
 from peridotpost.decisions import ownership
 from peridotpost.distribution import replica as replicas
 from peridotpost.kernel import counters
@@ -148,13 +148,13 @@
     replica = kernel.find('replica', replicas.Replica)
     counts = kernel.find('counters', counters.Counters)
     rng = kernel.find('randomness', random.Random)
-    keeper = views.ScheduleKeeper(
+    keeper = schedule_keeper.ScheduleKeeper(
         kernel.find('store', etcd.EtcdStore),
         settings.mesh,
         replica,
         kernel.find('timers', timers.TimerService),
         counts,
-        round(settings.once.lead_s * views.MS_IN_S),
+        round(settings.once.lead_s * schedule_keeper.MS_IN_S),
         streams,
         rng,
     )
@@ -170,7 +170,7 @@
         counts,
         rng,
         ownership.ClockBound(
-            round(settings.once.clock_bound_s * views.MS_IN_S)
+            round(settings.once.clock_bound_s * schedule_keeper.MS_IN_S)
         ),
     )
     kernel.register('owner', owner)
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -8,7 +8,7 @@
 import result
 
 from peridotpost.border import settings as settings_border
-from peridotpost.calls import views
+from peridotpost.calls import schedule_keeper
 from peridotpost.daemon import discovery
 from peridotpost.decisions import seeds as seed_rules
 from peridotpost.decisions import versions as version_rules
@@ -186,7 +186,7 @@
 
 async def _follow_schedule(kernel: registry.Kernel) -> None:
     """Load the schedule of key owners before the first call is accepted."""
-    keeper = kernel.find('schedule', views.ScheduleKeeper)
+    keeper = kernel.find('schedule', schedule_keeper.ScheduleKeeper)
     await keeper.tick()
     clock = kernel.find('timers', timers.TimerService)
-    clock.subscribe('schedule', views.TICK_S, keeper.tick)
+    clock.subscribe('schedule', schedule_keeper.TICK_S, keeper.tick)
--- a/src/peridotpost/decisions/idempotency.py
+++ b/src/peridotpost/decisions/idempotency.py
@@ -75,7 +75,7 @@
     return Key(match[0], timestamp_ms, match[2] or '', match[3] or '')
 
 
-def mint(
+def generate_key(
     now_ms: int, randomness: random.Random, zone: str = '', host: str = ''
 ) -> Key:
     """Return a new key, timestamped `now_ms`, with an optional owner."""
--- a/testing/callpath.py
+++ b/testing/callpath.py
@@ -98,8 +98,8 @@
         self.router = router
         self.randomness = random.Random(router.replica.host)
 
-    def mint(self) -> str:
-        return idempotency.mint(1, self.randomness).text
+    def generate_key(self) -> str:
+        return idempotency.generate_key(1, self.randomness).text
 
     async def route(self, call: calls.Call) -> calls.Outcome:
         return await self.router.carry(call)
--- a/testing/once_world.py
+++ b/testing/ownership_model.py
@@ -177,7 +177,7 @@
         daemon = self.daemons[host]
         if not daemon.is_running:
             return None
-        key = idempotency.mint(
+        key = idempotency.generate_key(
             self.clock(daemon), self.randomness, host[0], host
         )
         daemon.ledger.record_generated(key)
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -184,7 +184,9 @@
 
 def new_key(suffix: str = '') -> str:
     """Return a new idempotency key, as a caller generates it."""
-    key = idempotency.mint(time.time_ns() // 1_000_000, random.Random())
+    key = idempotency.generate_key(
+        time.time_ns() // 1_000_000, random.Random()
+    )
     return key.text + suffix
 
 
--- a/testing/test_call_invariants.py
+++ b/testing/test_call_invariants.py
@@ -133,9 +133,9 @@
                 lambda: node.guard.in_flight == 0,
                 'all calls have ended',
             )
-            for held in node.guard.gates.held.values():
+            for held in node.guard.gates.by_target.values():
                 assert held.gate.running == held.gate.waiting == 0
-            assert node.router.book.outstanding == {}
+            assert node.router.load_tracker.outstanding == {}
     outcomes = collections.Counter(reply.word for reply in replies.values())
     assert min(outcomes.values()) > 0 and len(outcomes) == 3, outcomes
     for path, reply in replies.items():
--- a/testing/test_caller_contract.py
+++ b/testing/test_caller_contract.py
@@ -376,7 +376,7 @@
         assert host.counts.totals['guard.deadline'] == 0
         assert target.counts['cancelled'] == cancelled
         assert target.counts['ran'] == ran
-        for held in host.guard.gates.held.values():
+        for held in host.guard.gates.by_target.values():
             assert held.gate.running == held.gate.waiting == 0
 
 
@@ -389,7 +389,7 @@
                 await stack.enter_async_context(callpath.caller(node.port))
                 for _ in range(3)
             ]
-            gates = node.guard.gates.held
+            gates = node.guard.gates.by_target
             for number, caller in enumerate(callers):
                 await caller.send(
                     callpath.request(
@@ -464,7 +464,7 @@
 
 
 def buffered_bytes(node: callpath.Node) -> int:
-    return node.ingress.held_bytes
+    return node.ingress.buffered_bytes
 
 
 async def test_internal_error_is_answered_as_unknown(
--- a/testing/test_ledgers.py
+++ b/testing/test_ledgers.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from peridotpost.calls import heirs
 from peridotpost.calls import ledger
+from peridotpost.calls import ledger_handover
 from peridotpost.calls import peers
 from peridotpost.decisions import idempotency
 from peridotpost.distribution import replica as replicas
@@ -81,14 +81,16 @@
 
 
 @pytest.fixture
-def handover(randomness: random.Random) -> heirs.LedgerHandover:
+def handover(randomness: random.Random) -> ledger_handover.LedgerHandover:
     counts = counters.Counters()
     clock = timers.TimerService(randomness)
     events = timeline.Timeline('heir', clock.wall)
     replica = replicas.Replica(
         'heir', config.Interest(), clock, events, counts
     )
-    return heirs.LedgerHandover(replica, peers.PeerStreams(counts), counts)
+    return ledger_handover.LedgerHandover(
+        replica, peers.PeerStreams(counts), counts
+    )
 
 
 def handover_of(
@@ -103,14 +105,16 @@
 
 
 def key_of(host: str, stamp_ms: int) -> idempotency.Key:
-    return idempotency.mint(stamp_ms, random.Random(stamp_ms), 'z', host)
+    return idempotency.generate_key(
+        stamp_ms, random.Random(stamp_ms), 'z', host
+    )
 
 
 def test_only_the_last_chunk_proves_keys_not_run(
-    handover: heirs.LedgerHandover,
+    handover: ledger_handover.LedgerHandover,
 ) -> None:
-    whole = handover_of('h', 5, heirs.MAX_CHUNK_BYTES // 2)
-    *pieces, last = heirs.split_into_chunks(whole)
+    whole = handover_of('h', 5, ledger_handover.MAX_CHUNK_BYTES // 2)
+    *pieces, last = ledger_handover.split_into_chunks(whole)
     assert len(pieces) == 4
     for piece in pieces:
         handover.store(piece, 100)
@@ -129,21 +133,24 @@
     'stamp_ms', [10, 100], ids=['before-its-record', 'after-it-stopped']
 )
 def test_successor_proves_nothing_outside_the_ledgers_period(
-    handover: heirs.LedgerHandover, stamp_ms: int
+    handover: ledger_handover.LedgerHandover, stamp_ms: int
 ) -> None:
     handover.store(handover_of('h', 1, 1), 100)
     outcome = handover.look_up(key_of('h', stamp_ms), 'h', None)
     assert isinstance(outcome, calls.OutcomeUnknown)
 
 
-def test_stored_ledgers_are_bounded(handover: heirs.LedgerHandover) -> None:
+def test_stored_ledgers_are_bounded(
+    handover: ledger_handover.LedgerHandover,
+) -> None:
     for number in range(40):
-        for piece in heirs.split_into_chunks(
+        for piece in ledger_handover.split_into_chunks(
             handover_of(f'h{number}', 2, 1_000_000)
         ):
             handover.store(piece, 100)
     assert (
-        sum(one.size for one in handover.ledgers.values()) <= heirs.MAX_BYTES
+        sum(one.size for one in handover.ledgers.values())
+        <= ledger_handover.MAX_BYTES
     )
     assert 'h39' in handover.ledgers and 'h0' not in handover.ledgers
     handover.store(handover_of('late', 1, 1), 100 + 3_600_001)
--- a/testing/test_ownership.py
+++ b/testing/test_ownership.py
@@ -7,16 +7,16 @@
 from peridotpost.decisions import idempotency
 from peridotpost.decisions import ownership
 from peridotpost.model import calls
-from testing import once_world
+from testing import ownership_model
 
 HOSTS = ('a0', 'a1', 'b0')
 UUID7 = '01936f3e-8d2a-7c41-9b0e-5f1c7a2d3e4f'
 
 
 @pytest.fixture
-def world() -> once_world.World:
+def world() -> ownership_model.World:
     """Three daemons with an extended schedule, a minute after their start."""
-    one = once_world.World(HOSTS)
+    one = ownership_model.World(HOSTS)
     for host in HOSTS:
         one.set_view(host, HOSTS)
     extend(one)
@@ -25,7 +25,7 @@
     return one
 
 
-def extend(world: once_world.World) -> None:
+def extend(world: ownership_model.World) -> None:
     for host in HOSTS:
         if world.daemons[host].is_running:
             world.read(host)
@@ -34,24 +34,24 @@
         world.read(host)
 
 
-def fresh_key(world: once_world.World, owner: str) -> idempotency.Key:
+def fresh_key(world: ownership_model.World, owner: str) -> idempotency.Key:
     """Return a plain key with the current timestamp, owned by `owner`."""
     assert world.store is not None
     for number in range(1000):
-        key = idempotency.mint(world.now_ms, random.Random(number))
+        key = idempotency.generate_key(world.now_ms, random.Random(number))
         span = world.store.owner_of(key)
         if span is not None and span.host == owner:
             return key
     raise AssertionError(f'{owner} owns nothing')
 
 
-def deliver_all(world: once_world.World) -> None:
+def deliver_all(world: ownership_model.World) -> None:
     for _ in range(100):
         if world.network:
             world.deliver()
 
 
-def last_answer(world: once_world.World) -> calls.Outcome:
+def last_answer(world: ownership_model.World) -> calls.Outcome:
     return world.answers[-1][1]
 
 
@@ -82,7 +82,7 @@
 
 
 def test_generated_key_can_be_parsed(randomness: random.Random) -> None:
-    key = idempotency.mint(1_700_000_000_123, randomness, 'z', 'h')
+    key = idempotency.generate_key(1_700_000_000_123, randomness, 'z', 'h')
     assert idempotency.parse(key.text) == key
 
 
@@ -95,8 +95,10 @@
 ) -> None:
     ledger = idempotency.Ledger(max_entries, max_bytes)
     for timestamp in (30, 10, 20):
-        entry = ledger.begin(idempotency.mint(timestamp, randomness), b'')
-        ledger.finish(entry, once_world.ANSWER)
+        entry = ledger.begin(
+            idempotency.generate_key(timestamp, randomness), b''
+        )
+        ledger.finish(entry, ownership_model.ANSWER)
     assert sorted(one.key.timestamp_ms for one in ledger.all_entries()) == [
         20,
         30,
@@ -109,14 +111,16 @@
     randomness: random.Random,
 ) -> None:
     ledger = idempotency.Ledger()
-    entry = ledger.begin(idempotency.mint(1, randomness), b'')
+    entry = ledger.begin(idempotency.generate_key(1, randomness), b'')
     body = b'x' * (idempotency.MAX_ANSWER_BYTES + 1)
     ledger.finish(entry, calls.Answer(200, 'OK', (), body))
     assert isinstance(entry.outcome, calls.OutcomeUnknown)
     assert not entry.never_ran
 
 
-def test_owner_of_a_timestamp_never_changes(world: once_world.World) -> None:
+def test_owner_of_a_timestamp_never_changes(
+    world: ownership_model.World,
+) -> None:
     """A copy of any age names the same owner as the latest schedule.
 
     Writers with incorrect member views extend the schedule 500 times.
@@ -133,7 +137,7 @@
         ]
         copies.append(
             ownership.extend_schedule(
-                copies[-1], live, now_ms, once_world.LEAD_MS
+                copies[-1], live, now_ms, ownership_model.LEAD_MS
             )
         )
     final = copies[-1]
@@ -141,14 +145,18 @@
         assert ownership.is_consistent(copy, final)
         for _ in range(10):
             timestamp = draw.randrange(copy.floor_ms, copy.horizon_ms)
-            key = idempotency.mint(timestamp, draw, draw.choice(['', 'a']))
+            key = idempotency.generate_key(
+                timestamp, draw, draw.choice(['', 'a'])
+            )
             mine, finals = copy.owner_of(key), final.owner_of(key)
             if final.covers(timestamp) and mine is not None:
                 assert finals is not None and mine.host == finals.host
     assert len(final.spans) < 2000
 
 
-def test_contradictory_schedule_is_detected(world: once_world.World) -> None:
+def test_contradictory_schedule_is_detected(
+    world: ownership_model.World,
+) -> None:
     """The store was restored from a backup, or lost its data."""
     assert world.store is not None
     other = ownership.initial_schedule(
@@ -158,7 +166,7 @@
 
 
 def test_writer_that_sees_few_owners_ends_no_span(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     """Most owners fail at once, or the writer is partitioned from them.
 
@@ -173,7 +181,7 @@
     world.read('a0')
     world.send('a0', fresh_key(world, 'b0'))
     deliver_all(world)
-    assert last_answer(world) == once_world.UNKNOWN
+    assert last_answer(world) == ownership_model.UNKNOWN
     key = world.generate_key('a0')
     assert key is not None
     deliver_all(world)
@@ -181,7 +189,7 @@
     assert world.runs[key.text] <= 1
 
 
-def test_old_copies_name_the_same_owner(world: once_world.World) -> None:
+def test_old_copies_name_the_same_owner(world: ownership_model.World) -> None:
     """Daemons with copies of different age name the same owner.
 
     a1 is paused while the members change; it and b0 then receive the same
@@ -198,11 +206,11 @@
         world.send(host, key)
     deliver_all(world)
     assert world.runs[key.text] == 1
-    assert last_answer(world) == once_world.ANSWER
+    assert last_answer(world) == ownership_model.ANSWER
 
 
 def test_key_runs_once_if_all_processes_pause_during_a_dispatch(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     """All processes pause for an hour during a dispatch, then resume."""
     key = fresh_key(world, 'a0')
@@ -218,7 +226,7 @@
 
 
 def test_pause_between_the_check_and_the_write(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     """A dispatch arrives an hour after the owner decided to run the key.
 
@@ -241,7 +249,7 @@
 
 
 def test_same_key_at_two_ingresses_with_different_schedules(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     """a1 has the schedule before the change, b0 the one after it.
 
@@ -254,7 +262,7 @@
     world.swap('b0', world.store, world.prepare('b0'))
     for number in range(60):
         timestamp = horizon - 1 + number % 3
-        key = idempotency.mint(timestamp, random.Random(number))
+        key = idempotency.generate_key(timestamp, random.Random(number))
         world.send('a1', key)
         world.send('b0', key)
         deliver_all(world)
@@ -262,7 +270,7 @@
 
 
 def test_resend_of_an_evicted_key_is_not_run(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     """A caller resends a key after its entry was evicted."""
     key = fresh_key(world, 'a0')
@@ -277,28 +285,28 @@
     world.send('b0', key)
     deliver_all(world)
     assert world.runs[key.text] == 1
-    assert last_answer(world) == once_world.UNKNOWN
+    assert last_answer(world) == ownership_model.UNKNOWN
 
 
 @pytest.mark.parametrize('graceful', [False, True], ids=['killed', 'stopped'])
 def test_restarted_owner_runs_no_key_of_its_previous_process(
-    world: once_world.World, graceful: bool
+    world: ownership_model.World, graceful: bool
 ) -> None:
     """A key ran, then its owner's process was replaced by another.
 
     The host's clock is set back by twice `error_ms` in between.
     """
-    world.daemons['a0'].skew_ms = once_world.BOUND.error_ms
-    world.now_ms += once_world.BOUND.max_skew_ms
+    world.daemons['a0'].skew_ms = ownership_model.BOUND.error_ms
+    world.now_ms += ownership_model.BOUND.max_skew_ms
     key = fresh_key(world, 'a0')
     world.send('a0', key)
     deliver_all(world)
     world.stop('a0') if graceful else world.kill('a0')
     world.send('b0', key)
     deliver_all(world)
-    expected = once_world.ANSWER if graceful else once_world.UNKNOWN
+    expected = ownership_model.ANSWER if graceful else ownership_model.UNKNOWN
     assert last_answer(world) == expected
-    world.start('a0', -once_world.BOUND.error_ms)
+    world.start('a0', -ownership_model.BOUND.error_ms)
     world.send('b0', key)
     deliver_all(world)
     assert last_answer(world) == expected
@@ -306,16 +314,16 @@
 
 
 def test_successor_proves_nothing_about_a_later_process(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     """A successor must not report a later process's key as not run.
 
     a0 stops gracefully; its next process runs a key and is killed.  The
     successor of the first process has no entry for that key.
     """
-    world.daemons['a0'].skew_ms = once_world.BOUND.error_ms
+    world.daemons['a0'].skew_ms = ownership_model.BOUND.error_ms
     world.stop('a0')
-    world.start('a0', -once_world.BOUND.error_ms)
+    world.start('a0', -ownership_model.BOUND.error_ms)
     world.set_view('a0', HOSTS)
     key = world.generate_key('a0')
     assert key is not None
@@ -323,21 +331,23 @@
     world.kill('a0')
     world.send('b0', key)
     deliver_all(world)
-    assert last_answer(world) == once_world.UNKNOWN
+    assert last_answer(world) == ownership_model.UNKNOWN
 
 
 def test_successor_proves_that_an_unsent_key_was_not_run(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     key = fresh_key(world, 'a0')
     world.now_ms += 3_000
     world.stop('a0')
     world.send('b0', key)
     deliver_all(world)
-    assert last_answer(world) == once_world.REFUSED
+    assert last_answer(world) == ownership_model.REFUSED
 
 
-def test_lost_answer_of_a_swap_is_harmless(world: once_world.World) -> None:
+def test_lost_answer_of_a_swap_is_harmless(
+    world: ownership_model.World,
+) -> None:
     """A write succeeds, but the writer does not receive the answer.
 
     It keeps its previous copy, its next swap fails, and it reads again.
@@ -353,7 +363,7 @@
 
 
 def test_duplicate_of_a_refused_dispatch_is_not_run(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
     """A duplicate of a refused dispatch arrives after the key has run.
 
@@ -369,20 +379,20 @@
 
 
 def test_key_from_the_future_is_never_run(
-    world: once_world.World,
+    world: ownership_model.World,
 ) -> None:
-    key = idempotency.mint(
-        world.now_ms + once_world.BOUND.max_accepted_ahead_ms,
+    key = idempotency.generate_key(
+        world.now_ms + ownership_model.BOUND.max_accepted_ahead_ms,
         random.Random(1),
         'a',
         'a0',
     )
     world.send('b0', key)
     deliver_all(world)
-    assert last_answer(world) == once_world.REFUSED
+    assert last_answer(world) == ownership_model.REFUSED
     world.kill('a0')
     world.start('a0', 0)
     world.send('b0', key)
     deliver_all(world)
-    assert last_answer(world) == once_world.UNKNOWN
+    assert last_answer(world) == ownership_model.UNKNOWN
     assert not world.runs
--- a/testing/test_ownership_machine.py
+++ b/testing/test_ownership_machine.py
@@ -16,10 +16,12 @@
 
 from peridotpost.decisions import idempotency
 from peridotpost.decisions import ownership
-from testing import once_world
+from testing import ownership_model
 
 HOSTS = ('a0', 'a1', 'b0')
-SKEWS = st.integers(-once_world.BOUND.error_ms, once_world.BOUND.error_ms)
+SKEWS = st.integers(
+    -ownership_model.BOUND.error_ms, ownership_model.BOUND.error_ms
+)
 Copy = ownership.Schedule | None
 STEPS = st.sampled_from([0, 1, 2, 3, 3, 3])
 # Broken rules were found after 4 to 379 examples, over five seeds each.  The
@@ -40,7 +42,7 @@
 class Machine(stateful.RuleBasedStateMachine):
     """Runs random steps on a :class:`once_world.World`, which checks them."""
 
-    world_type: type[once_world.World] = once_world.World
+    world_type: type[ownership_model.World] = ownership_model.World
 
     def __init__(self) -> None:
         super().__init__()
@@ -77,7 +79,7 @@
         steps: int,
     ) -> None:
         made_ms = self.world.now_ms + skew + late_ms
-        key = idempotency.mint(made_ms, random.Random(number), *suffix)
+        key = idempotency.generate_key(made_ms, random.Random(number), *suffix)
         self.keys.append(key)
         self.world.send(host, key)
         self.deliver_latest(steps)
@@ -167,7 +169,7 @@
 
 
 class HashedTargetMachine(Machine):
-    world_type = once_world.HashedTargetWorld
+    world_type = ownership_model.HashedTargetWorld
 
 
 def test_no_key_runs_twice_under_the_schedule() -> None:
@@ -181,7 +183,7 @@
     That rule sent a key to the first-ranked target known to the ingress, so
     two ingresses with different views ran it twice.
     """
-    with pytest.raises(once_world.DuplicateRun):
+    with pytest.raises(ownership_model.DuplicateRun):
         stateful.run_state_machine_as_test(
             HashedTargetMachine, settings=SEARCH
         )
--- a/testing/test_peer_contract.py
+++ b/testing/test_peer_contract.py
@@ -177,7 +177,7 @@
             front.meet(good)
             # Make the faulty target the less loaded one.
             for _ in range(3):
-                front.router.book.sent('good/t-good')
+                front.router.load_tracker.sent('good/t-good')
             reply = await caller.ask('read', 'GET', '/r')
             assert (reply.status, reply.word) == (200, 'answered')
             assert front.counts.totals['router.retried'] == 1
@@ -360,5 +360,7 @@
             )
             await fast.ask('read')
         (endpoint,) = front.replica.table.routes['read'].endpoints
-        report = front.router.book.reports[loadbalancing.target_key(endpoint)]
+        report = front.router.load_tracker.reports[
+            loadbalancing.target_key(endpoint)
+        ]
         assert report.load == pytest.approx(1 / 4)
--- a/testing/test_retry.py
+++ b/testing/test_retry.py
@@ -154,7 +154,7 @@
         back.announce('read', dying.port)
         front.meet(back)
         back.guard.leaving = True
-        front.router.book.sent('back/t-back')
+        front.router.load_tracker.sent('back/t-back')
         reply = await caller.ask('read')
         assert (reply.status, reply.word) == (502, 'unknown')
         assert front.counts.totals['router.retried'] == 1
--- a/testing/test_schedule_keeper.py
+++ b/testing/test_schedule_keeper.py
@@ -10,7 +10,7 @@
 from peridotpost.calls import frames
 from peridotpost.calls import peer_server
 from peridotpost.calls import peers
-from peridotpost.calls import views
+from peridotpost.calls import schedule_keeper
 from peridotpost.decisions import idempotency
 from peridotpost.decisions import ownership
 from peridotpost.distribution import replica as replicas
@@ -49,7 +49,9 @@
         self.counts = counters.Counters()
         self.keepers = {host: self.keeper(host) for host in 'ab'}
 
-    def keeper(self, host: str, call_port: int = 1) -> views.ScheduleKeeper:
+    def keeper(
+        self, host: str, call_port: int = 1
+    ) -> schedule_keeper.ScheduleKeeper:
         events = timeline.Timeline(host, self.clock.wall)
         replica = replicas.Replica(
             host, config.Interest(), self.clock, events, self.counts
@@ -62,7 +64,7 @@
                 ),
                 '',
             )
-        return views.ScheduleKeeper(
+        return schedule_keeper.ScheduleKeeper(
             self.store,
             'm',
             replica,
@@ -103,7 +105,7 @@
         one, two = (keeper.current for keeper in setup.keepers.values())
         assert one is not None and two is not None
         assert ownership.is_consistent(one, two)
-        key = idempotency.mint(setup.now_ms(), random.Random(1))
+        key = idempotency.generate_key(setup.now_ms(), random.Random(1))
         assert one.owner_of(key) == two.owner_of(key)
         # A lead of 60 s makes 40 writes in 600 s; the initial, shorter
         # leads add some.
@@ -130,7 +132,7 @@
         await keeper.tick()
         assert keeper.current is None
         setup.fail()
-        setup.clock.at += views.REFRESH_INTERVAL_S
+        setup.clock.at += schedule_keeper.REFRESH_INTERVAL_S
         found = await keeper.schedule_covering(setup.now_ms())
         assert found is not None and found.covers(setup.now_ms())
         await setup.keepers['b'].tick()
@@ -140,7 +142,7 @@
 class ScheduleServer:
     """Answers schedule requests like the owner of a daemon."""
 
-    def __init__(self, keeper: views.ScheduleKeeper) -> None:
+    def __init__(self, keeper: schedule_keeper.ScheduleKeeper) -> None:
         self.keeper = keeper
 
     async def serve(self, frame: frames.OwnerFrame) -> calls.Outcome:
@@ -179,7 +181,11 @@
         other = ownership.initial_schedule(
             [ownership.Candidate('c', 'z', 1)], setup.now_ms()
         )
-        for value in (views.encode(other), b'', zlib.compress(b'[]')):
+        for value in (
+            schedule_keeper.encode(other),
+            b'',
+            zlib.compress(b'[]'),
+        ):
             read = await setup.store.read(keeper.key)
             current = read.unwrap()
             assert current is not None
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -219,7 +219,7 @@
         # The only target: there is none to retry at, so the request is
         # sent at most once.
         assert len(target.requests) <= 1
-        assert node.guard.gates.held[(service, 't-h1')].gate.running == 0
+        assert node.guard.gates.by_target[(service, 't-h1')].gate.running == 0
 
 
 async def test_connection_refused_withdraws_the_target() -> None:
