--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -89,8 +89,8 @@
 
 
 def _encode_stored_value(document: str) -> bytes:
-    return versions.to_value(
-        versions.Accepted(1, 1, '0' * 32, 'bench', '', 0.0, 0, document)
+    return versions.encode_version(
+        versions.AcceptedVersion(1, 1, '0' * 32, 'bench', '', 0.0, 0, document)
     )
 
 
@@ -109,7 +109,7 @@
     )
     sums = list(replica.fleet.sums)
     bucket = frozenset({0})
-    marks = wire.bucket_marks(bucket, replica.fleet.marks(bucket))
+    marks = wire.bucket_marks_to_wire(bucket, replica.fleet.marks(bucket))
     link = links.Link('child', node.table, node.counts)
     return {
         'hosts': hosts,
@@ -117,7 +117,7 @@
         'bytes': {
             'member_record': wire.member_to_wire(records[0]).ByteSize(),
             'all_member_records': all_members.ByteSize(),
-            'hello': links.greeting(link).ByteSize(),
+            'hello': links.hello_message(link).ByteSize(),
             'digest': _make_digest(replica).ByteSize(),
             'marks_of_one_bucket': marks.ByteSize(),
         },
@@ -148,7 +148,7 @@
             'probe_candidates': min_cpu_ms(
                 lambda: replica.fleet.live_hosts('zone-00')
             ),
-            'pick_reconciliation': min_cpu_ms(reconciler.pick),
+            'pick_reconciliation': min_cpu_ms(reconciler.pick_address),
             'read_all_records': min_cpu_ms(
                 lambda: [
                     wire.member_from_wire(record)
@@ -294,7 +294,9 @@
     document = documents.generate_document(fleets.SERVICES, fleets.ZONES)
     base = fleets.make_version()
     after = fleets.changed_version(base, 7)
-    accepted = versions.Accepted(1, 1, '0' * 32, 'b', '', 0.0, 0, document)
+    accepted = versions.AcceptedVersion(
+        1, 1, '0' * 32, 'b', '', 0.0, 0, document
+    )
     held = base.scoped(LEAF_INTEREST)
     holding = version_rules.Holding(held, LEAF_INTEREST)
     new_holding = version_rules.Holding(
--- a/bench/framing.py
+++ b/bench/framing.py
@@ -105,10 +105,10 @@
         link = links.Link(
             'parent', child.table, child.counts, dialled=True, reports=True
         )
-        await call.write(control_pb2.Frame(hello=links.greeting(link)))
-        link.take(await call.read())
+        await call.write(control_pb2.Frame(hello=links.hello_message(link)))
+        link.handle_frame(await call.read())
         link_task = asyncio.ensure_future(
-            streams.converse(link, call.read, call.write, closing)
+            streams.run_link(link, call.read, call.write, closing)
         )
         await asyncio.sleep(0.5)
         before, payload = dataclasses.replace(traffic), _payload_bytes(totals)
--- a/bench/meshes.py
+++ b/bench/meshes.py
@@ -89,7 +89,7 @@
         result = await versions.accept(
             self.store, self.plan.mesh, proposed, asyncio.sleep
         )
-        if not isinstance(result, versions.Won):
+        if not isinstance(result, versions.Committed):
             raise RuntimeError(f'the mesh document was not accepted: {result}')
         self.head = result.revision
         return result.revision
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -63,7 +63,7 @@
         result = await versions.accept(
             self.store, self.mesh, proposed, asyncio.sleep
         )
-        if not isinstance(result, versions.Won):
+        if not isinstance(result, versions.Committed):
             raise RuntimeError(f'the mesh document was not accepted: {result}')
         self.head = result.revision
         for _ in range(COLLECT_ATTEMPTS):
@@ -158,8 +158,10 @@
     after = await convergence.take_sample(bench)
     watch_after = await _store_counts(bench, watchers)
     stored_bytes = len(
-        versions.to_value(
-            versions.Accepted(1, 1, '0' * 32, 'bench', '', 0.0, 0, document)
+        versions.encode_version(
+            versions.AcceptedVersion(
+                1, 1, '0' * 32, 'bench', '', 0.0, 0, document
+            )
         )
     )
     link_bytes = [
--- a/src/peridotpost/admin/handlers.py
+++ b/src/peridotpost/admin/handlers.py
@@ -14,7 +14,7 @@
 from peridotpost.calls import sockets as ports
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import server as control
-from peridotpost.distribution import source as sources
+from peridotpost.distribution import storewatcher as sources
 from peridotpost.distribution import uplinks
 from peridotpost.kernel import counters
 from peridotpost.kernel import registry
@@ -30,9 +30,9 @@
 class ApiHandler(web.RequestHandler):
     """Base class of the handlers; reports errors as JSON."""
 
-    kernel: registry.Kernel
+    kernel: registry.ServiceRegistry
 
-    def initialize(self, kernel: registry.Kernel) -> None:
+    def initialize(self, kernel: registry.ServiceRegistry) -> None:
         self.kernel = kernel
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
@@ -141,12 +141,12 @@
         self.finish({})
 
 
-def daemon_status(kernel: registry.Kernel) -> models.DaemonStatus:
+def daemon_status(kernel: registry.ServiceRegistry) -> models.DaemonStatus:
     """Return the daemon's status."""
     local_member = kernel.find('myself', myself.LocalMember)
     replica = kernel.find('replica', replicas.Replica)
-    uplink_set = kernel.find('uplinks', uplinks.Uplinks)
-    source = kernel.find('source', sources.Source)
+    uplink_set = kernel.find('uplinks', uplinks.UplinkManager)
+    source = kernel.find('source', sources.StoreWatcher)
     servicer = kernel.find('control', control.ControlServicer)
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return models.DaemonStatus(
@@ -156,8 +156,8 @@
         revision=replica.version.revision,
         write_id=replica.version.write_id,
         digest=replica.version.digest.hex(),
-        relay=uplink_set.place.relay,
-        parent=[parent.peer for parent in uplink_set.wanted.values()],
+        relay=uplink_set.position.relay,
+        parent=[parent.peer for parent in uplink_set.by_name.values()],
         children=servicer.children,
         store_reachable=source.reachable,
         resident_kib=resident_kib(),
@@ -200,7 +200,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(
-    kernel: registry.Kernel, address: str, port: int
+    kernel: registry.ServiceRegistry, address: str, port: int
 ) -> AsyncIterator[int]:
     """Serve the admin API and yield its port.
 
--- a/src/peridotpost/admin/rollout.py
+++ b/src/peridotpost/admin/rollout.py
@@ -14,7 +14,7 @@
 from peridotpost.membership import myself
 
 
-def rollout_page(kernel: registry.Kernel) -> models.RolloutPage:
+def rollout_page(kernel: registry.ServiceRegistry) -> models.RolloutPage:
     """Return the progress of the daemon and of all that report to it."""
     replica = kernel.find('replica', replicas.Replica)
     local_member = kernel.find('myself', myself.LocalMember)
--- a/src/peridotpost/cli/operator.py
+++ b/src/peridotpost/cli/operator.py
@@ -85,7 +85,7 @@
 
 async def find_version(
     platform: store.Store, mesh: str, revision: int
-) -> result.Result[versions.Accepted, errors.PeridotError]:
+) -> result.Result[versions.AcceptedVersion, errors.PeridotError]:
     """Return the version in force, or that of `revision` if it is not 0."""
     head = await versions.read_head(platform, mesh)
     if isinstance(head, result.Err):
@@ -112,9 +112,9 @@
 
 def propose(
     text: str, author: str, note: str, base_revision: int, write_id: str
-) -> versions.Accepted:
+) -> versions.AcceptedVersion:
     """Create a version to be accepted; generate a write ID if it is empty."""
-    return versions.Accepted(
+    return versions.AcceptedVersion(
         revision=0,
         number=0,
         write_id=write_id or uuid.uuid4().hex,
--- a/src/peridotpost/cli/peridotd.py
+++ b/src/peridotpost/cli/peridotd.py
@@ -56,7 +56,7 @@
             {starting, stopping}, return_when=asyncio.FIRST_COMPLETED
         )
         if not starting.done():
-            await tasks.end(starting)
+            await tasks.cancel_and_wait(starting)
             return
         try:
             await starting
--- a/src/peridotpost/cli/proxy_command.py
+++ b/src/peridotpost/cli/proxy_command.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from peridotpost.border import proxy as border
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.mesh import daemon
 from peridotpost.platform import assembly
 
@@ -54,7 +54,7 @@
 
 
 async def _serve(path: pathlib.Path, settings: border.ProxySettings) -> None:
-    log = lines.LineLog(settings.host)
+    log = jsonlog.JsonLog(settings.host)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -70,7 +70,7 @@
 
 
 def _reload(
-    path: pathlib.Path, running: border.ProxySettings, log: lines.LineLog
+    path: pathlib.Path, running: border.ProxySettings, log: jsonlog.JsonLog
 ) -> None:
     """Validate changed settings; they take effect at the next start."""
     try:
--- a/src/peridotpost/cli/subcommands/acceptance.py
+++ b/src/peridotpost/cli/subcommands/acceptance.py
@@ -134,7 +134,9 @@
 
 @functools.singledispatch
 def report_outcome(
-    outcome: versions.Acceptance, proposed: versions.Accepted, as_json: bool
+    outcome: versions.AcceptResult,
+    proposed: versions.AcceptedVersion,
+    as_json: bool,
 ) -> int:
     """Print the outcome of an accept; return the exit code."""
     raise TypeError(f'unknown outcome of an accept: {type(outcome).__name__}')
@@ -142,7 +144,9 @@
 
 @report_outcome.register
 def _(
-    outcome: versions.Won, proposed: versions.Accepted, as_json: bool
+    outcome: versions.Committed,
+    proposed: versions.AcceptedVersion,
+    as_json: bool,
 ) -> int:
     newer = outcome.superseded_by
     message = (
@@ -168,7 +172,9 @@
 
 @report_outcome.register
 def _(
-    outcome: versions.LostRace, proposed: versions.Accepted, as_json: bool
+    outcome: versions.LostRace,
+    proposed: versions.AcceptedVersion,
+    as_json: bool,
 ) -> int:
     current = outcome.current
     if current is None:
@@ -203,7 +209,9 @@
 
 @report_outcome.register
 def _(
-    outcome: versions.NotWritten, proposed: versions.Accepted, as_json: bool
+    outcome: versions.NotWritten,
+    proposed: versions.AcceptedVersion,
+    as_json: bool,
 ) -> int:
     output.print_result(
         as_json,
@@ -219,7 +227,9 @@
 
 @report_outcome.register
 def _(
-    outcome: versions.Undecided, proposed: versions.Accepted, as_json: bool
+    outcome: versions.Undecided,
+    proposed: versions.AcceptedVersion,
+    as_json: bool,
 ) -> int:
     output.print_result(
         as_json,
--- a/src/peridotpost/cli/subcommands/texts.py
+++ b/src/peridotpost/cli/subcommands/texts.py
@@ -133,7 +133,7 @@
     output.run(body, as_json)
 
 
-def version_to_json(version: versions.Accepted) -> dict[str, Any]:
+def version_to_json(version: versions.AcceptedVersion) -> dict[str, Any]:
     """Return the JSON representation of a version."""
     return {
         'revision': version.revision,
--- a/src/peridotpost/daemon/assembly.py
+++ b/src/peridotpost/daemon/assembly.py
@@ -14,7 +14,7 @@
 from peridotpost.kernel import registry
 
 Component = Callable[
-    [registry.Kernel], contextlib.AbstractAsyncContextManager[None]
+    [registry.ServiceRegistry], contextlib.AbstractAsyncContextManager[None]
 ]
 
 
@@ -29,7 +29,7 @@
         self, settings: settings_border.DaemonSettings, seed: int | None = None
     ) -> None:
         self.settings = settings
-        self.kernel = registry.Kernel()
+        self.kernel = registry.ServiceRegistry()
         self.kernel.register('settings', settings)
         self.kernel.register('randomness', random.Random(seed))
         self.components: list[Component] = [
--- a/src/peridotpost/daemon/base.py
+++ b/src/peridotpost/daemon/base.py
@@ -18,7 +18,7 @@
 
 
 @contextlib.asynccontextmanager
-async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
+async def installed(kernel: registry.ServiceRegistry) -> AsyncIterator[None]:
     """Register counters, timers, timeline, store and replica."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     rng = kernel.find('randomness', random.Random)
--- a/src/peridotpost/daemon/calls.py
+++ b/src/peridotpost/daemon/calls.py
@@ -55,7 +55,7 @@
 
 
 @contextlib.asynccontextmanager
-async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
+async def installed(kernel: registry.ServiceRegistry) -> AsyncIterator[None]:
     """Open the ports for calls and the admin API."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     async with contextlib.AsyncExitStack() as stack:
@@ -78,7 +78,7 @@
 
 
 def _add_guard(
-    kernel: registry.Kernel, stack: contextlib.AsyncExitStack
+    kernel: registry.ServiceRegistry, stack: contextlib.AsyncExitStack
 ) -> guards.Guard:
     settings = kernel.find('settings', settings_border.DaemonSettings)
     counts = kernel.find('counters', counters.Counters)
@@ -103,7 +103,9 @@
 
 
 def _add_router(
-    kernel: registry.Kernel, guard: guards.Guard, streams: peers.PeerStreams
+    kernel: registry.ServiceRegistry,
+    guard: guards.Guard,
+    streams: peers.PeerStreams,
 ) -> routers.Router:
     settings = kernel.find('settings', settings_border.DaemonSettings)
     router = routers.Router(
@@ -121,7 +123,7 @@
 
 
 async def _serve_peers(
-    kernel: registry.Kernel,
+    kernel: registry.ServiceRegistry,
     stack: contextlib.AsyncExitStack,
     router: routers.Router,
     streams: peers.PeerStreams,
@@ -139,7 +141,7 @@
 
 
 def _add_owner(
-    kernel: registry.Kernel,
+    kernel: registry.ServiceRegistry,
     router: routers.Router,
     streams: peers.PeerStreams,
 ) -> owners.Owner:
@@ -178,7 +180,7 @@
 
 
 async def _serve_requests(
-    kernel: registry.Kernel,
+    kernel: registry.ServiceRegistry,
     stack: contextlib.AsyncExitStack,
     router: routers.Router,
     listener: HttpListener,
@@ -196,7 +198,10 @@
 
 
 def _create_ingress(
-    kernel: registry.Kernel, router: routers.Router, *, for_targets: bool
+    kernel: registry.ServiceRegistry,
+    router: routers.Router,
+    *,
+    for_targets: bool,
 ) -> ingresses.Ingress:
     return ingresses.Ingress(
         kernel.find('replica', replicas.Replica),
--- a/src/peridotpost/daemon/control.py
+++ b/src/peridotpost/daemon/control.py
@@ -10,7 +10,7 @@
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import server
-from peridotpost.distribution import source as sources
+from peridotpost.distribution import storewatcher as sources
 from peridotpost.distribution import uplinks
 from peridotpost.distribution import wire
 from peridotpost.kernel import counters
@@ -43,7 +43,7 @@
 
 
 @contextlib.asynccontextmanager
-async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
+async def installed(kernel: registry.ServiceRegistry) -> AsyncIterator[None]:
     """Open the control and probe ports and register their services."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     incarnation = time.time_ns() // NS_PER_MS
@@ -75,7 +75,7 @@
 
 
 def _add_links(
-    kernel: registry.Kernel, incarnation: int
+    kernel: registry.ServiceRegistry, incarnation: int
 ) -> server.ControlServicer:
     settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
@@ -87,7 +87,7 @@
     return servicer
 
 
-def _add_prober(kernel: registry.Kernel) -> probing.Prober:
+def _add_prober(kernel: registry.ServiceRegistry) -> probing.Prober:
     settings = kernel.find('settings', settings_border.DaemonSettings)
     prober = probing.Prober(
         settings.host,
@@ -106,7 +106,7 @@
     return prober
 
 
-def _add_sources(kernel: registry.Kernel) -> None:
+def _add_sources(kernel: registry.ServiceRegistry) -> None:
     """Register the sources of updates: uplinks, peers and the store."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
@@ -114,7 +114,7 @@
     rng = kernel.find('randomness', random.Random)
     store = kernel.find('store', etcd.EtcdStore)
     zone = settings.availability_zone
-    uplink_set = uplinks.Uplinks(
+    uplink_set = uplinks.UplinkManager(
         replica,
         kernel.find('links', links.LinkTable),
         counts,
@@ -126,9 +126,9 @@
     kernel.register(
         'reconciler', reconcile.Reconciler(replica, counts, zone, rng)
     )
-    source = sources.Source(store, settings.mesh, replica, counts, rng)
+    source = sources.StoreWatcher(store, settings.mesh, replica, counts, rng)
     kernel.register('source', source)
-    uplink_set.on_place.append(source.follow_place)
+    uplink_set.position_listeners.append(source.set_position)
     kernel.register(
         'seeds',
         seeds.SeedKeeper(
--- a/src/peridotpost/daemon/discovery.py
+++ b/src/peridotpost/daemon/discovery.py
@@ -21,7 +21,7 @@
 class MemberDiscovery:
     """Maintains this daemon's bootstrap record and reads the others."""
 
-    def __init__(self, kernel: registry.Kernel) -> None:
+    def __init__(self, kernel: registry.ServiceRegistry) -> None:
         settings = kernel.find('settings', settings_border.DaemonSettings)
         self.zone = settings.availability_zone
         self.rng = kernel.find('randomness', random.Random)
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -14,7 +14,7 @@
 from peridotpost.decisions import versions as version_rules
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import replica as replicas
-from peridotpost.distribution import source as sources
+from peridotpost.distribution import storewatcher as sources
 from peridotpost.distribution import uplinks
 from peridotpost.kernel import logs
 from peridotpost.kernel import registry
@@ -31,16 +31,16 @@
 
 
 @contextlib.asynccontextmanager
-async def joined(kernel: registry.Kernel) -> AsyncIterator[None]:
+async def joined(kernel: registry.ServiceRegistry) -> AsyncIterator[None]:
     """Join the fleet; the daemon is ready when the body runs."""
     _subscribe_listeners(kernel)
     async with contextlib.AsyncExitStack() as stack:
         await stack.enter_async_context(
-            sources.following(kernel.find('source', sources.Source))
+            sources.following(kernel.find('source', sources.StoreWatcher))
         )
         await _read_initial_state(kernel)
         await stack.enter_async_context(
-            uplinks.holding(kernel.find('uplinks', uplinks.Uplinks))
+            uplinks.holding(kernel.find('uplinks', uplinks.UplinkManager))
         )
         finder = discovery.MemberDiscovery(kernel)
         _subscribe_timers(kernel, finder)
@@ -57,7 +57,7 @@
         yield
 
 
-def _subscribe_listeners(kernel: registry.Kernel) -> None:
+def _subscribe_listeners(kernel: registry.ServiceRegistry) -> None:
     """Subscribe the services to each other's changes."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     replica = kernel.find('replica', replicas.Replica)
@@ -92,7 +92,7 @@
     prober.pause_listeners.append(reconcile_after_pause)
 
 
-async def _read_initial_state(kernel: registry.Kernel) -> None:
+async def _read_initial_state(kernel: registry.ServiceRegistry) -> None:
     """Adopt the highest version found in the store and on several peers.
 
     A daemon that restarts during an outage of the store would otherwise
@@ -100,8 +100,8 @@
     """
     settings = kernel.find('settings', settings_border.DaemonSettings)
     rng = kernel.find('randomness', random.Random)
-    source = kernel.find('source', sources.Source)
-    uplink_set = kernel.find('uplinks', uplinks.Uplinks)
+    source = kernel.find('source', sources.StoreWatcher)
+    uplink_set = kernel.find('uplinks', uplinks.UplinkManager)
     keeper = kernel.find('seeds', seeds.SeedKeeper)
     own_address = kernel.find(
         'myself', myself.LocalMember
@@ -134,7 +134,7 @@
 
 
 async def _ask_peers(
-    kernel: registry.Kernel, store_read: bool, addresses: list[str]
+    kernel: registry.ServiceRegistry, store_read: bool, addresses: list[str]
 ) -> bool:
     """Ask peers in small groups until enough of them have a version."""
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
@@ -153,7 +153,7 @@
 
 
 def _subscribe_timers(
-    kernel: registry.Kernel, finder: discovery.MemberDiscovery
+    kernel: registry.ServiceRegistry, finder: discovery.MemberDiscovery
 ) -> None:
     timing = kernel.find('settings', settings_border.DaemonSettings).timing
     clock = kernel.find('timers', timers.TimerService)
@@ -184,7 +184,7 @@
     clock.subscribe('forget', FORGET_INTERVAL_S, forget_departed)
 
 
-async def _follow_schedule(kernel: registry.Kernel) -> None:
+async def _follow_schedule(kernel: registry.ServiceRegistry) -> None:
     """Load the schedule of key owners before the first call is accepted."""
     keeper = kernel.find('schedule', schedule_keeper.ScheduleKeeper)
     await keeper.tick()
--- a/src/peridotpost/daemon/leaving.py
+++ b/src/peridotpost/daemon/leaving.py
@@ -18,7 +18,7 @@
 DRAIN_POLL_INTERVAL_S = 0.01
 
 
-async def leave(kernel: registry.Kernel) -> None:
+async def leave(kernel: registry.ServiceRegistry) -> None:
     """Announce the leave, drain the requests and hand over the ledger."""
     settings = kernel.find('settings', settings_border.DaemonSettings)
     logs.state_changed('stage', host=settings.host, to='leaving')
@@ -35,7 +35,7 @@
     await kernel.find('seeds', seeds.SeedKeeper).withdraw()
 
 
-def _in_flight(kernel: registry.Kernel) -> int:
+def _in_flight(kernel: registry.ServiceRegistry) -> int:
     count = kernel.find('guard', guards.Guard).in_flight
     count += len(kernel.find('owner', owners.Owner).running)
     for name in ('ingress', 'egress'):
--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -79,7 +79,7 @@
     def resend_hello(self) -> None:
         """Send every peer a Hello with the changed interest."""
         for link in self.links:
-            link.owes_greeting = True
+            link.hello_due = True
             link.wake.set()
 
 
@@ -109,12 +109,12 @@
         self.reports = reports
         self.interest = config.Interest()
         self.peer_version = config.NO_CONFIG
-        self.greeted = False
+        self.hello_received = False
         self.dirty_hosts: set[str] = set()
         self.dirty_config = False
         self.dirty_buckets: frozenset[int] = frozenset()
         self.hosts_to_request: set[str] = set()
-        self.owes_greeting = False
+        self.hello_due = False
         self.need_whole_due = False
         self.ping: Ping | None = None
         self.reported_progress: progress.Progress | None = None
@@ -153,10 +153,10 @@
 
     def next_frame(self) -> control_pb2.Frame | None:
         """Return the next frame to send; None if there is nothing to send."""
-        if self.owes_greeting:
-            self.owes_greeting = False
-            return control_pb2.Frame(hello=greeting(self))
-        if not self.greeted:
+        if self.hello_due:
+            self.hello_due = False
+            return control_pb2.Frame(hello=hello_message(self))
+        if not self.hello_received:
             return None
         if self.need_whole_due:
             self.need_whole_due = False
@@ -173,7 +173,9 @@
         if self.dirty_buckets:
             buckets, self.dirty_buckets = self.dirty_buckets, frozenset()
             marks = self.replica.fleet.marks(buckets)
-            return control_pb2.Frame(marks=wire.bucket_marks(buckets, marks))
+            return control_pb2.Frame(
+                marks=wire.bucket_marks_to_wire(buckets, marks)
+            )
         if self.hosts_to_request:
             hosts, self.hosts_to_request = sorted(self.hosts_to_request), set()
             request = control_pb2.MemberRequest(hosts=hosts)
@@ -234,7 +236,7 @@
         target = versions.Holding(scoped, self.interest)
         return wire.update_to_wire(versions.make_update(base, target))
 
-    def take(self, frame: control_pb2.Frame) -> None:
+    def handle_frame(self, frame: control_pb2.Frame) -> None:
         """Process one frame from the peer.
 
         :raises errors.CodecError: the frame is invalid; nothing of it was
@@ -283,7 +285,7 @@
         if self.dialled and hello.member_sums:
             differing = self.replica.fleet.differing(hello.member_sums)
             self.dirty_buckets |= differing
-        self.greeted = True
+        self.hello_received = True
 
     def _handle_marks(self, message: control_pb2.MemberMarks) -> None:
         """Mark records that are newer here, and request those newer there."""
@@ -337,7 +339,7 @@
             self.table.report_progress()
 
 
-def greeting(link: Link) -> control_pb2.Hello:
+def hello_message(link: Link) -> control_pb2.Hello:
     """Return the Hello with which this daemon introduces itself."""
     replica = link.replica
     return control_pb2.Hello(
@@ -351,7 +353,7 @@
     )
 
 
-def frames(link: Link) -> Iterator[control_pb2.Frame]:
+def pending_frames(link: Link) -> Iterator[control_pb2.Frame]:
     """Yield all frames that are due to the peer."""
     while (frame := link.next_frame()) is not None:
         yield frame
--- a/src/peridotpost/distribution/reconcile.py
+++ b/src/peridotpost/distribution/reconcile.py
@@ -38,7 +38,7 @@
         self.randomness = randomness
         self.dial: dialling.Dial = dialling.dial
 
-    def pick(self) -> str | None:
+    def pick_address(self) -> str | None:
         """Return the next peer's address, mostly within the zone."""
         live = [
             record
@@ -62,7 +62,7 @@
         return self.randomness.choice(peers).control_address
 
     async def tick(self) -> None:
-        address = self.pick()
+        address = self.pick_address()
         if address is not None:
             await self.ask(address)
 
@@ -120,7 +120,8 @@
         """Return the second request: the marks of buckets that differed."""
         marks = self.replica.fleet.marks(buckets)
         return control_pb2.Digest(
-            host=self.replica.host, marks=wire.bucket_marks(buckets, marks)
+            host=self.replica.host,
+            marks=wire.bucket_marks_to_wire(buckets, marks),
         )
 
     def apply_facts(self, facts: control_pb2.Facts, address: str) -> None:
--- a/src/peridotpost/distribution/replica.py
+++ b/src/peridotpost/distribution/replica.py
@@ -98,7 +98,7 @@
             self._replace_holding(judgement.holding, source)
         return judgement.verdict
 
-    def offer_whole(
+    def offer_full_version(
         self, version: config.ConfigVersion, source: str
     ) -> versions.Verdict:
         """Offer a complete version, such as one read from the store."""
--- a/src/peridotpost/distribution/server.py
+++ b/src/peridotpost/distribution/server.py
@@ -55,9 +55,9 @@
         link = links.Link(hello.host, self.table, self.counts)
         self.children += 1
         try:
-            link.take(control_pb2.Frame(hello=hello))
-            link.owes_greeting = True
-            await streams.converse(
+            link.handle_frame(control_pb2.Frame(hello=hello))
+            link.hello_due = True
+            await streams.run_link(
                 link, context.read, context.write, self.closing
             )
         except errors.CodecError as error:
--- a/src/peridotpost/distribution/source.py
+++ b/src/peridotpost/distribution/storewatcher.py
@@ -29,7 +29,7 @@
 watches end immediately."""
 
 
-class Source:
+class StoreWatcher:
     """Watches the store for new versions while this daemon is a relay."""
 
     def __init__(
@@ -51,7 +51,7 @@
         self.garbage = False
         self.last_rejection = ''
 
-    def follow_place(self, place: tree.TreePosition) -> None:
+    def set_position(self, place: tree.TreePosition) -> None:
         """Run the watch exactly while this daemon is a relay."""
         if place.has_children:
             # The full configuration is kept even after the position
@@ -122,7 +122,7 @@
             return
         self._offer_version(accepted.ok_value)
 
-    def _offer_version(self, accepted: versions.Accepted) -> None:
+    def _offer_version(self, accepted: versions.AcceptedVersion) -> None:
         self.last_revision = max(self.last_revision, accepted.revision)
         if accepted.revision <= self.replica.version.revision:
             if not self.replica.needs_wider_scope:
@@ -131,7 +131,7 @@
         if isinstance(compiled, result.Err):
             self._note_rejected(compiled.err_value)
             return
-        self.replica.offer_whole(compiled.ok_value, SOURCE)
+        self.replica.offer_full_version(compiled.ok_value, SOURCE)
 
     def _note_rejected(self, error: errors.StoreError) -> None:
         self.counts.add('source.rejected')
@@ -151,9 +151,9 @@
 
 
 @contextlib.asynccontextmanager
-async def following(source: Source) -> AsyncIterator[Source]:
+async def following(source: StoreWatcher) -> AsyncIterator[StoreWatcher]:
     try:
         yield source
     finally:
         if source.watching is not None:
-            await tasks.end(source.watching)
+            await tasks.cancel_and_wait(source.watching)
--- a/src/peridotpost/distribution/streams.py
+++ b/src/peridotpost/distribution/streams.py
@@ -13,7 +13,7 @@
 from peridotpost.kernel import tasks
 from peridotpost.model import errors
 
-GATHER_S = 0.02
+BATCH_DELAY_S = 0.02
 """Facts that arrive within this time are sent in one message, such as the
 some forty records of a lost rack.  It adds to the latency of each hop of
 the tree."""
@@ -31,7 +31,7 @@
 Write = Callable[[control_pb2.Frame], Coroutine[Any, Any, None]]
 
 
-async def converse(
+async def run_link(
     link: links.Link, read: Read, write: Write, closing: asyncio.Event
 ) -> None:
     """Run a link until a side ends it, the peer is silent or `closing` is set.
@@ -67,13 +67,13 @@
         link.table.detach(link)
         if heartbeat is not None:
             clock.cancel(heartbeat)
-        await tasks.end(*running)
+        await tasks.cancel_and_wait(*running)
 
 
 async def _send(link: links.Link, write: Write) -> None:
     while True:
         link.wake.clear()
-        for frame in links.frames(link):
+        for frame in links.pending_frames(link):
             link.counts.add('link.sent-bytes', frame.ByteSize())
             link.counts.add('link.sent-messages')
             try:
@@ -85,11 +85,11 @@
                     peer=link.peer,
                 ) from error
         await link.wake.wait()
-        await asyncio.sleep(GATHER_S)
+        await asyncio.sleep(BATCH_DELAY_S)
 
 
 async def _receive(link: links.Link, read: Read) -> None:
     while (frame := await read()) is not aio.EOF:
         link.counts.add('link.received-bytes', frame.ByteSize())
         link.counts.add('link.received-messages')
-        link.take(frame)
+        link.handle_frame(frame)
--- a/src/peridotpost/distribution/uplinks.py
+++ b/src/peridotpost/distribution/uplinks.py
@@ -50,7 +50,7 @@
     peer: str = ''
 
 
-class Uplinks:
+class UplinkManager:
     """Maintains a stream to the parent or, on a relay, to other zones."""
 
     def __init__(
@@ -66,15 +66,15 @@
         self.counts = counts
         self.zone = zone
         self.randomness = randomness
-        self.wanted: dict[str, Uplink] = {}
-        self.place = tree.TreePosition(False, False, ())
+        self.by_name: dict[str, Uplink] = {}
+        self.position = tree.TreePosition(False, False, ())
         self.dial: dialling.Dial = dialling.dial
         self.ping: links.Ping | None = None
         self.closing = asyncio.Event()
         self.resolve_address: Callable[[str], str | None] = self._address_of
         self.bootstrap: tuple[str, ...] = ()
         self.replan_timer: asyncio.TimerHandle | None = None
-        self.on_place: list[Callable[[tree.TreePosition], None]] = []
+        self.position_listeners: list[Callable[[tree.TreePosition], None]] = []
         replica.changed.subscribe(self._schedule_replan)
 
     def _schedule_replan(self, change: replicas.FactChange) -> None:
@@ -88,23 +88,25 @@
         self.replan_timer = None
         fleet = self.replica.fleet
         hosts = fleet.live_hosts(self.zone)
-        self.place = tree.position_of(self.replica.host, self.zone, hosts)
+        self.position = tree.position_of(self.replica.host, self.zone, hosts)
         desired = self._desired_uplinks(hosts)
-        for name in [held for held in self.wanted if held not in desired]:
-            self.wanted.pop(name).task.cancel()
+        for name in [held for held in self.by_name if held not in desired]:
+            self.by_name.pop(name).task.cancel()
         for name, candidates in desired.items():
-            uplink = self.wanted.get(name)
+            uplink = self.by_name.get(name)
             if uplink is None:
                 self._open(name, candidates)
             elif uplink.candidates != candidates:
                 self._update_candidates(name, uplink, candidates)
-        for listener in self.on_place:
-            listener(self.place)
+        for listener in self.position_listeners:
+            listener(self.position)
 
     def _desired_uplinks(self, hosts: list[str]) -> dict[str, tuple[str, ...]]:
         """Return the candidates of each desired uplink by its name."""
-        if not self.place.relay:
-            parents = tree.suspects_last(self.place.parents, self.suspected())
+        if not self.position.relay:
+            parents = tree.suspects_last(
+                self.position.parents, self.suspected()
+            )
             return {'parent': parents or self.bootstrap}
         others = [
             tree.ZoneRelays(
@@ -140,7 +142,7 @@
 
     def _open(self, name: str, candidates: tuple[str, ...]) -> None:
         task = asyncio.ensure_future(self._maintain(name, candidates))
-        self.wanted[name] = Uplink(candidates, task)
+        self.by_name[name] = Uplink(candidates, task)
 
     def _update_candidates(
         self, name: str, uplink: Uplink, candidates: tuple[str, ...]
@@ -157,7 +159,7 @@
         choice = pacing.ParentSelector(self.randomness)
         clock = self.replica.clock
         while not tasks.cancelled():
-            uplink = self.wanted.get(name)
+            uplink = self.by_name.get(name)
             if uplink is not None:
                 candidates = uplink.candidates
             if not candidates:
@@ -228,14 +230,14 @@
                 self.counts.add('uplink.refused')
                 refusal: control_pb2.Refusal = first.refusal
                 return refusal
-            link.take(first)
+            link.handle_frame(first)
             logs.state_changed('uplink', peer=link.peer, to='up')
             # grpc does not allow iteration over a call after read().
-            await streams.converse(link, call.read, call.write, self.closing)
+            await streams.run_link(link, call.read, call.write, self.closing)
         return None
 
     async def _exchange_hello(self, call: Any, link: links.Link) -> Any:
-        hello = links.greeting(link)
+        hello = links.hello_message(link)
         await call.write(control_pb2.Frame(hello=hello))
         first = await call.read()
         if first is aio.EOF:
@@ -254,7 +256,7 @@
 
 
 @contextlib.asynccontextmanager
-async def holding(uplinks: Uplinks) -> AsyncIterator[Uplinks]:
+async def holding(uplinks: UplinkManager) -> AsyncIterator[UplinkManager]:
     uplinks.plan()
     try:
         yield uplinks
@@ -262,5 +264,5 @@
         uplinks.closing.set()
         if uplinks.replan_timer is not None:
             uplinks.replan_timer.cancel()
-        running = [uplink.task for uplink in uplinks.wanted.values()]
-        await tasks.end(*running)
+        running = [uplink.task for uplink in uplinks.by_name.values()]
+        await tasks.cancel_and_wait(*running)
--- a/src/peridotpost/distribution/wire.py
+++ b/src/peridotpost/distribution/wire.py
@@ -115,7 +115,7 @@
         raise errors.CodecError(str(error), step='wire.marks') from error
 
 
-def bucket_marks(
+def bucket_marks_to_wire(
     buckets: frozenset[int], marks: Mapping[str, members.MemberMark]
 ) -> control_pb2.MemberMarks:
     return control_pb2.MemberMarks(
--- a/src/peridotpost/kernel/lines.py
+++ b/src/peridotpost/kernel/jsonlog.py
@@ -16,7 +16,7 @@
 from peridotpost.decisions import logbudget
 
 
-class LineLog:
+class JsonLog:
     """Writes one JSON object per line.
 
     :param host: host name that is part of each line.
@@ -43,14 +43,14 @@
 
     def state(self, what: str, **fields: Any) -> None:
         """Log a state change; not rate-limited."""
-        self.tell(what, fields)
+        self.write(what, fields)
 
     def request(self, decision: str, **fields: Any) -> None:
         """Log the decision on a request if the rate limit allows."""
-        if self.has_room(logbudget.LinePriority.OUTCOME):
-            self.tell(decision, fields)
+        if self.try_reserve(logbudget.LinePriority.OUTCOME):
+            self.write(decision, fields)
 
-    def has_room(self, weight: logbudget.LinePriority) -> bool:
+    def try_reserve(self, weight: logbudget.LinePriority) -> bool:
         """Take tokens for a line about a request.
 
         Returns False and counts the line as left out if there are too few.
@@ -60,14 +60,14 @@
         self.left_out += 1
         return False
 
-    def has_room_for_served(self, now: float) -> bool:
+    def try_reserve_served(self, now: float) -> bool:
         """Reserve the line for the one served request logged per second.
 
         :param now: seconds of a monotonic clock.
         """
         return self.budget.try_take_served(now)
 
-    def tell(self, what: str, fields: dict[str, Any]) -> None:
+    def write(self, what: str, fields: dict[str, Any]) -> None:
         """Write a line; the caller has reserved it if it is rate-limited."""
         line: dict[str, Any] = {
             'at': round(self.wall(), 3),
--- a/src/peridotpost/kernel/registry.py
+++ b/src/peridotpost/kernel/registry.py
@@ -7,7 +7,7 @@
 ServiceT = TypeVar('ServiceT')
 
 
-class Kernel:
+class ServiceRegistry:
     """Maps names to the services of one process."""
 
     def __init__(self) -> None:
--- a/src/peridotpost/kernel/tasks.py
+++ b/src/peridotpost/kernel/tasks.py
@@ -18,7 +18,7 @@
     return task is not None and task.cancelling() > 0
 
 
-async def end(*ending: asyncio.Future[Any]) -> None:
+async def cancel_and_wait(*ending: asyncio.Future[Any]) -> None:
     """Cancel tasks and wait for them to finish; ignore their exceptions.
 
     Awaiting a task under ``suppress(CancelledError)`` would also swallow
--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -14,7 +14,7 @@
 from peridotpost.decisions import releasesplit
 from peridotpost.decisions import selection
 from peridotpost.kernel import counters
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.kernel import registry
 from peridotpost.kernel import tasks
 from peridotpost.mesh import adapter as adapters
@@ -63,12 +63,12 @@
         self,
         settings: border.ProxySettings,
         adapter: adapters.Adapter,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.settings = settings
         self.adapter = adapter
         self.log = log
-        self.kernel = registry.Kernel()
+        self.kernel = registry.ServiceRegistry()
         self.counts = counters.Counters()
         self.randomness = random.Random()
         self.ports: list[listener.Port] = []
@@ -200,7 +200,7 @@
                 yield self
             finally:
                 await self.releases.close()
-                await tasks.end(*running)
+                await tasks.cancel_and_wait(*running)
 
     async def _listen(
         self,
@@ -264,7 +264,7 @@
             self.requests.close_idle()
             await asyncio.sleep(DRAIN_POLL_S)
         self.requests.close_idle()
-        await tasks.end(withdrawing)
+        await tasks.cancel_and_wait(withdrawing)
         self.log.state('stage', to='left', in_flight=self._in_flight())
 
     def _in_flight(self) -> int:
--- a/src/peridotpost/mesh/directory.py
+++ b/src/peridotpost/mesh/directory.py
@@ -16,7 +16,7 @@
 from peridotpost.decisions import targetstate
 from peridotpost.kernel import counters
 from peridotpost.kernel import hooks
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.model import forwarding
 from peridotpost.model import instances
 from peridotpost.proxy import deadlines
@@ -72,7 +72,7 @@
         guard: guards.Guard,
         randomness: random.Random,
         counts: counters.Counters,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.own_record = own
         self.guard = guard
--- a/src/peridotpost/mesh/releasecoordinator.py
+++ b/src/peridotpost/mesh/releasecoordinator.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from peridotpost.decisions import releaseplan
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.kernel import tasks
 from peridotpost.mesh import storefeed
 from peridotpost.model import errors
@@ -88,7 +88,7 @@
         fleet: Fleet,
         feed: storefeed.Feed,
         randomness: random.Random,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.order = order
         self.fleet = fleet
@@ -210,7 +210,7 @@
             self.renewed_at = deadlines.now()
             yield epoch is not None
         finally:
-            await tasks.end(renewing)
+            await tasks.cancel_and_wait(renewing)
             await self._end_lease(lease)
 
     async def _end_lease(self, lease: int) -> None:
--- a/src/peridotpost/mesh/releases.py
+++ b/src/peridotpost/mesh/releases.py
@@ -12,7 +12,7 @@
 from peridotpost.decisions import releasesplit
 from peridotpost.decisions import verdict
 from peridotpost.kernel import counters
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.kernel import tasks
 from peridotpost.mesh import directory as directories
 from peridotpost.mesh import releasecoordinator
@@ -42,7 +42,7 @@
         feed: storefeed.StoreFeed,
         randomness: random.Random,
         counts: counters.Counters,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.split = split
         self.exposure = exposure
@@ -72,7 +72,7 @@
         if self.report_task is not None:
             running.append(self.report_task)
         if running:
-            await tasks.end(*running)
+            await tasks.cancel_and_wait(*running)
 
     # Interface for the coordinator.
 
--- a/src/peridotpost/mesh/storefeed.py
+++ b/src/peridotpost/mesh/storefeed.py
@@ -15,7 +15,7 @@
 
 from peridotpost.kernel import counters
 from peridotpost.kernel import hooks
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.kernel import tasks
 from peridotpost.mesh import directory as directories
 from peridotpost.mesh import versions as version_feed
@@ -119,7 +119,7 @@
         versions: version_feed.Versions,
         randomness: random.Random,
         counts: counters.Counters,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.feed = feed
         self.own_record = own
@@ -195,7 +195,7 @@
             self.counts.add('store.watch-renewed')
             return ConfigRead(None, revision)
         finally:
-            await tasks.end(watch, store_returned)
+            await tasks.cancel_and_wait(watch, store_returned)
 
     def _note_call_result(self, answered: bool) -> None:
         """Record whether calls other than the watch are answered."""
--- a/src/peridotpost/mesh/versions.py
+++ b/src/peridotpost/mesh/versions.py
@@ -13,7 +13,7 @@
 from peridotpost.decisions import following
 from peridotpost.kernel import counters
 from peridotpost.kernel import hooks
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.mesh import directory as directories
 from peridotpost.model import mesh
 from peridotpost.proxy import deadlines
@@ -57,7 +57,7 @@
         directory: directories.Directory,
         follow: following.StoreReadPolicy,
         counts: counters.Counters,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.decode = decode
         self.apply = apply
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -11,7 +11,7 @@
 from peridotpost.decisions import split
 from peridotpost.decisions import targetstate
 from peridotpost.kernel import counters
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.model import forwarding
 from peridotpost.model import mesh
 from peridotpost.proxy import deadlines
@@ -67,7 +67,7 @@
         deadline_timer: deadlines.DeadlineTimer,
         releases: releasesplit.ReleaseSplit,
         counts: counters.Counters,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.releases = releases
         self.names = header_names
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -19,7 +19,7 @@
 from peridotpost.decisions import slots as slot_rules
 from peridotpost.kernel import counters
 from peridotpost.kernel import hooks
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.model import forwarding
 from peridotpost.model import instances
 from peridotpost.proxy import deadlines
@@ -60,7 +60,7 @@
         deadline_timer: deadlines.DeadlineTimer,
         retry_budget: budget.RetryBudget,
         counts: counters.Counters,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
     ) -> None:
         self.names = header_names
         self.deadline_timer = deadline_timer
@@ -264,7 +264,7 @@
     def _log_declined(
         self, order: forwarding.Order, retry_after_s: float
     ) -> None:
-        if not self.log.has_room(logbudget.LinePriority.STEP):
+        if not self.log.try_reserve(logbudget.LinePriority.STEP):
             return
         now = deadlines.now()
         queue = self.queue
@@ -282,7 +282,7 @@
             'left_ms': round((order.deadline - now) * 1000),
             'return_ms': round(retry_after_s * 1000),
         }
-        self.log.tell('declined', fields)
+        self.log.write('declined', fields)
 
     def _set_expiry(self, at: float, order: forwarding.Order) -> None:
         self._clear_expiry(order)
--- a/src/peridotpost/proxy/reachability.py
+++ b/src/peridotpost/proxy/reachability.py
@@ -8,7 +8,7 @@
 
 from peridotpost.decisions import poison
 from peridotpost.kernel import hooks
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.model import forwarding
 from peridotpost.proxy import deadlines
 from peridotpost.proxy import upstream
@@ -62,7 +62,7 @@
         were lost shortly before the target refused connections.
     """
 
-    def __init__(self, owner: ReachabilityOwner, log: lines.LineLog) -> None:
+    def __init__(self, owner: ReachabilityOwner, log: jsonlog.JsonLog) -> None:
         self.owner = owner
         self.log = log
         self.down = False
--- a/src/peridotpost/proxy/requestlog.py
+++ b/src/peridotpost/proxy/requestlog.py
@@ -5,7 +5,7 @@
 
 from peridotpost.decisions import attempts
 from peridotpost.decisions import logbudget
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.model import mesh
 from peridotpost.proxy import deadlines
 from peridotpost.proxy import exchange as exchanges
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        log: lines.LineLog,
+        log: jsonlog.JsonLog,
         config: Callable[[], mesh.MeshConfig | None],
     ) -> None:
         self.log = log
@@ -35,9 +35,9 @@
             self.ended(exchange, 'failed', exchange.host, str(status))
             return
         now = deadlines.now()
-        if self.log.has_room_for_served(now):
+        if self.log.try_reserve_served(now):
             fields = self._fields(exchange, exchange.host, str(status), now)
-            self.log.tell('served', fields)
+            self.log.write('served', fields)
 
     def ended(
         self,
@@ -47,19 +47,19 @@
         detail: str,
     ) -> None:
         """Log a final result other than a successful response."""
-        if self.log.has_room(logbudget.LinePriority.OUTCOME):
+        if self.log.try_reserve(logbudget.LinePriority.OUTCOME):
             now = deadlines.now()
             fields = self._fields(exchange, target, detail, now)
-            self.log.tell(decision, fields)
+            self.log.write(decision, fields)
 
     def lost(
         self, exchange: exchanges.Exchange, target: str, detail: str
     ) -> None:
         """Log a dispatch that ended without a response."""
-        if self.log.has_room(logbudget.LinePriority.STEP):
+        if self.log.try_reserve(logbudget.LinePriority.STEP):
             now = deadlines.now()
             fields = self._fields(exchange, target, detail, now)
-            self.log.tell('lost', fields)
+            self.log.write('lost', fields)
 
     def refused_unrouted(
         self, message: http1.Message, status: int, reason: str
--- a/src/peridotpost/store/versions.py
+++ b/src/peridotpost/store/versions.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedVersion:
     """A configuration version as it is stored.
 
     :param revision: the store revision, which orders versions.
@@ -53,21 +53,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Won:
+class Committed:
     """The version was written.
 
     :param superseded_by: the head, if a later version has replaced it.
     """
 
     revision: int
-    superseded_by: Accepted | None = None
+    superseded_by: AcceptedVersion | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LostRace:
     """Another version was accepted first; nothing was written."""
 
-    current: Accepted | None
+    current: AcceptedVersion | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
     error: errors.StoreRefused
 
 
-Acceptance = Won | LostRace | NotWritten | Undecided
+AcceptResult = Committed | LostRace | NotWritten | Undecided
 
 
 def head_key(mesh: str) -> str:
@@ -96,7 +96,7 @@
     return f'peridotpost/{mesh}/history/'
 
 
-def to_value(version: Accepted) -> bytes:
+def encode_version(version: AcceptedVersion) -> bytes:
     """Serialise a version to JSON with compressed text."""
     raw = version.text.encode()
     plain = {
@@ -115,7 +115,7 @@
 
 def decode_version(
     kv: store.KeyValue,
-) -> result.Result[Accepted, errors.StoreError]:
+) -> result.Result[AcceptedVersion, errors.StoreError]:
     """Deserialise a stored version and verify its hash."""
     try:
         plain = json.loads(kv.value)
@@ -125,7 +125,7 @@
         if hashlib.sha256(raw).hexdigest() != plain['sha256']:
             raise ValueError('the text does not match its hash')
         return result.Ok(
-            Accepted(
+            AcceptedVersion(
                 revision=kv.revision,
                 number=int(plain['number']),
                 write_id=str(plain['write_id']),
@@ -147,7 +147,7 @@
 
 
 def compile_version(
-    version: Accepted,
+    version: AcceptedVersion,
 ) -> result.Result[config.ConfigVersion, errors.StoreError]:
     """Validate the stored text again and compile it to a configuration.
 
@@ -171,7 +171,7 @@
 
 async def read_head(
     platform: store.Store, mesh: str
-) -> result.Result[Accepted | None, errors.StoreError]:
+) -> result.Result[AcceptedVersion | None, errors.StoreError]:
     """Read the current version; None before the first."""
     head = await platform.read(head_key(mesh))
     if isinstance(head, result.Err):
@@ -183,7 +183,7 @@
 
 async def read_history(
     platform: store.Store, mesh: str
-) -> result.Result[list[Accepted], errors.StoreError]:
+) -> result.Result[list[AcceptedVersion], errors.StoreError]:
     """Read the retained versions, newest first; skip invalid ones."""
     entries = await platform.read_prefix(history_prefix(mesh))
     if isinstance(entries, result.Err):
@@ -198,10 +198,10 @@
 async def accept(
     platform: store.Store,
     mesh: str,
-    proposed: Accepted,
+    proposed: AcceptedVersion,
     sleep: Sleep,
     attempts: int = MAX_ATTEMPTS,
-) -> Acceptance:
+) -> AcceptResult:
     """Make `proposed` the head if its ``base_revision`` still is.
 
     The swap is retried while responses are lost.  It can take effect only
@@ -233,19 +233,19 @@
 
 
 async def _try_accept(
-    platform: store.Store, mesh: str, proposed: Accepted
-) -> Won | LostRace | errors.StoreError:
+    platform: store.Store, mesh: str, proposed: AcceptedVersion
+) -> Committed | LostRace | errors.StoreError:
     head = await read_head(platform, mesh)
     if isinstance(head, result.Err):
         return head.err_value
     current = head.ok_value
     current_revision = 0 if current is None else current.revision
     if current is not None and current.write_id == proposed.write_id:
-        return Won(current.revision)
+        return Committed(current.revision)
     if current_revision != proposed.base_revision:
         return await _resolve_from_history(platform, mesh, proposed, current)
     number = 1 if current is None else current.number + 1
-    value = to_value(dataclasses.replace(proposed, number=number))
+    value = encode_version(dataclasses.replace(proposed, number=number))
     if len(value) > MAX_VALUE_BYTES:
         message = (
             f'is {len(value)} bytes when stored, over the platform limit of '
@@ -262,33 +262,33 @@
     if isinstance(swapped, result.Err):
         return swapped.err_value
     if isinstance(swapped.ok_value, store.Swapped):
-        return Won(swapped.ok_value.revision)
+        return Committed(swapped.ok_value.revision)
     return await _resolve_conflict(platform, mesh, proposed)
 
 
 async def _resolve_conflict(
-    platform: store.Store, mesh: str, proposed: Accepted
-) -> Won | LostRace | errors.StoreError:
+    platform: store.Store, mesh: str, proposed: AcceptedVersion
+) -> Committed | LostRace | errors.StoreError:
     head = await read_head(platform, mesh)
     if isinstance(head, result.Err):
         return head.err_value
     current = head.ok_value
     if current is not None and current.write_id == proposed.write_id:
-        return Won(current.revision)
+        return Committed(current.revision)
     return await _resolve_from_history(platform, mesh, proposed, current)
 
 
 async def _resolve_from_history(
     platform: store.Store,
     mesh: str,
-    proposed: Accepted,
-    current: Accepted | None,
-) -> Won | LostRace | errors.StoreError:
+    proposed: AcceptedVersion,
+    current: AcceptedVersion | None,
+) -> Committed | LostRace | errors.StoreError:
     """Distinguish a superseded write with a lost response from a lost race."""
     history = await read_history(platform, mesh)
     if isinstance(history, result.Err):
         return history.err_value
     for version in history.ok_value:
         if version.write_id == proposed.write_id:
-            return Won(version.revision, superseded_by=current)
+            return Committed(version.revision, superseded_by=current)
     return LostRace(current)
--- a/testing/callpath.py
+++ b/testing/callpath.py
@@ -119,7 +119,7 @@
             host, config.EVERYTHING, clock, events, counts
         )
         mesh = text.read_text(mesh_text, 'test')
-        replica.offer_whole(text.to_config(mesh, 1, 'w'), 'test')
+        replica.offer_full_version(text.to_config(mesh, 1, 'w'), 'test')
         myself = own.LocalMember(
             members.MemberRecord(
                 host,
--- a/testing/fleets.py
+++ b/testing/fleets.py
@@ -126,7 +126,7 @@
         self.table = links.LinkTable(self.replica, 1, 'z1')
 
     def hold(self, held: config.ConfigVersion) -> versions.Verdict:
-        return self.replica.offer_whole(held, 'store')
+        return self.replica.offer_full_version(held, 'store')
 
     def learn(self, records: Iterable[members.MemberRecord]) -> None:
         for record in records:
@@ -156,7 +156,7 @@
         )
         self.bytes_sent = 0
         for end in self.ends:
-            end.owes_greeting = True
+            end.hello_due = True
             end.table.attach(end)
 
     def close(self) -> None:
@@ -165,7 +165,7 @@
 
     def send(self, side: int) -> None:
         """Queue every frame that `side` has pending for its peer."""
-        for frame in links.frames(self.ends[side]):
+        for frame in links.pending_frames(self.ends[side]):
             data = frame.SerializeToString()
             self.bytes_sent += len(data)
             self.waiting[side].append(data)
@@ -176,7 +176,7 @@
             return None
         frame = control_pb2.Frame()
         frame.ParseFromString(self.waiting[side].popleft())
-        self.ends[1 - side].take(frame)
+        self.ends[1 - side].handle_frame(frame)
         return frame
 
 
--- a/testing/proxies.py
+++ b/testing/proxies.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from peridotpost.border import proxy as border
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.mesh import daemon
 from peridotpost.platform import assembly
 from testing import conditions
@@ -207,7 +207,7 @@
         )
         settings = msgspec.structs.replace(settings, link_mbps=link_mbps)
         adapter = self.exit_stack.enter_context(assembly.adapter_for(settings))
-        log = lines.LineLog(name, self._log_descriptor(name))
+        log = jsonlog.JsonLog(name, self._log_descriptor(name))
         proxy = daemon.ProxyDaemon(settings, adapter, log)
         await self.exit_stack.enter_async_context(proxy.running())
         return Host(name, address, settings, proxy, worker)
--- a/testing/soak/run.py
+++ b/testing/soak/run.py
@@ -165,7 +165,7 @@
     await asyncio.sleep(RECOVERY_PHASE_S)
     stop.set()
     await asyncio.gather(*caller_tasks)
-    await tasks.end(stall_recorder)
+    await tasks.cancel_and_wait(stall_recorder)
     env.observed.ended = time.monotonic()
 
 
--- a/testing/test_accept.py
+++ b/testing/test_accept.py
@@ -17,8 +17,8 @@
 MESH = 'm'
 
 
-def proposed(author: str, base: int = 0) -> versions.Accepted:
-    return versions.Accepted(
+def proposed(author: str, base: int = 0) -> versions.AcceptedVersion:
+    return versions.AcceptedVersion(
         revision=0,
         number=0,
         write_id=f'id-of-{author}',
@@ -39,7 +39,7 @@
 ) -> None:
     async with etcd_store() as env:
         won = await versions.accept(env.store, MESH, proposed('a'), no_sleep)
-        assert isinstance(won, versions.Won)
+        assert isinstance(won, versions.Committed)
         head = (await versions.read_head(env.store, MESH)).unwrap()
     assert head is not None
     assert (head.text, head.revision) == ('# a', won.revision)
@@ -56,7 +56,7 @@
             versions.accept(env.store, MESH, proposed('a'), no_sleep),
             versions.accept(env.store, MESH, proposed('b'), no_sleep),
         )
-    won = [o for o in outcomes if isinstance(o, versions.Won)]
+    won = [o for o in outcomes if isinstance(o, versions.Committed)]
     lost = [o for o in outcomes if isinstance(o, versions.LostRace)]
     assert len(won) == len(lost) == 1
     assert lost[0].current is not None
@@ -71,7 +71,7 @@
     async with etcd_store() as env:
         env.platform.faults.lose_answers = 1
         won = await versions.accept(env.store, MESH, proposed('a'), no_sleep)
-        assert isinstance(won, versions.Won)
+        assert isinstance(won, versions.Committed)
         assert won.superseded_by is None
         history = (await versions.read_history(env.store, MESH)).unwrap()
     assert [entry.revision for entry in history] == [won.revision]
@@ -86,12 +86,12 @@
     async with etcd_store() as env:
         first = proposed('a')
         won = await versions.accept(env.store, MESH, first, no_sleep)
-        assert isinstance(won, versions.Won)
+        assert isinstance(won, versions.Committed)
         second = proposed('b', won.revision)
         later = await versions.accept(env.store, MESH, second, no_sleep)
-        assert isinstance(later, versions.Won)
+        assert isinstance(later, versions.Committed)
         retried = await versions.accept(env.store, MESH, first, no_sleep)
-    assert isinstance(retried, versions.Won)
+    assert isinstance(retried, versions.Committed)
     assert retried.revision == won.revision
     assert retried.superseded_by is not None
     assert retried.superseded_by.author == 'b'
@@ -111,7 +111,7 @@
         env.platform.faults.outage = False
         resumed = dataclasses.replace(proposed('a'), write_id=first.write_id)
         won = await versions.accept(env.store, MESH, resumed, no_sleep)
-    assert isinstance(won, versions.Won)
+    assert isinstance(won, versions.Committed)
 
 
 async def test_invalid_head_is_rejected(
@@ -131,7 +131,7 @@
     ids=['refused', 'refused-after-lost-response'],
 )
 async def test_refused_accept_is_undecided_only_after_a_lost_response(
-    lost: int, outcome: type[versions.Acceptance]
+    lost: int, outcome: type[versions.AcceptResult]
 ) -> None:
     # The store is over quota and nothing was written, so the result is not
     # undecided, unless the response to an earlier attempt was lost.
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -24,7 +24,7 @@
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import server
-from peridotpost.distribution import source as sources
+from peridotpost.distribution import storewatcher as sources
 from peridotpost.distribution import streams
 from peridotpost.distribution import wire
 from peridotpost.generated import control_pb2
@@ -129,7 +129,7 @@
     parent = fleets.make_full_node('parent', LEAF_INTEREST, 20)
     parent.replica.clock = timers.TimerService(random.Random(1))
     link = links.Link('child', parent.table, parent.counts)
-    link.greeted = link.owes_greeting = True
+    link.hello_received = link.hello_due = True
     sent: asyncio.Queue[control_pb2.Frame] = asyncio.Queue()
     closing = asyncio.Event()
 
@@ -138,7 +138,7 @@
         return aio.EOF
 
     link_task = asyncio.ensure_future(
-        streams.converse(link, read, sent.put, closing)
+        streams.run_link(link, read, sent.put, closing)
     )
     hello = await asyncio.wait_for(sent.get(), 30)
     assert hello.HasField('hello')
@@ -235,7 +235,7 @@
             for number in range(relays):
                 replica = nodes.Node(f'relay-{number}').replica
                 replica.changed.subscribe(_queue_revisions(arrived))
-                source = sources.Source(
+                source = sources.StoreWatcher(
                     _open_store(stack, backend),
                     'measured',
                     replica,
@@ -243,7 +243,7 @@
                     random.Random(number),
                 )
                 watchers.append(source)
-                source.follow_place(tree.TreePosition(True, True, ()))
+                source.set_position(tree.TreePosition(True, True, ()))
             await conditions.until(
                 lambda: backend.platform.counts['watching'] == relays
             )
@@ -282,9 +282,11 @@
 
 
 async def _accept(store: Any, document: str, base: int) -> int:
-    proposed = versions.Accepted(0, 0, 'w1', 'o', '', 0.0, base, document)
+    proposed = versions.AcceptedVersion(
+        0, 0, 'w1', 'o', '', 0.0, base, document
+    )
     result = await versions.accept(store, 'measured', proposed, asyncio.sleep)
-    assert isinstance(result, versions.Won)
+    assert isinstance(result, versions.Committed)
     return result.revision
 
 
--- a/testing/test_lines.py
+++ b/testing/test_lines.py
@@ -6,7 +6,7 @@
 import pytest
 
 from peridotpost.decisions import logbudget
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 
 
 class Clock:
@@ -33,7 +33,7 @@
 
 
 def test_line_has_time_host_and_event(pipe: tuple[int, int]) -> None:
-    log = lines.LineLog('host-1', pipe[1], Clock())
+    log = jsonlog.JsonLog('host-1', pipe[1], Clock())
     log.state('config', before=1, version=2, source='store')
     assert read_lines(pipe[0]) == [
         {
@@ -51,7 +51,7 @@
     pipe: tuple[int, int],
 ) -> None:
     clock = Clock()
-    log = lines.LineLog('h', pipe[1], clock)
+    log = jsonlog.JsonLog('h', pipe[1], clock)
     for number in range(5000):
         log.request('refused', request=str(number))
     assert len(read_lines(pipe[0])) == logbudget.BURST_LINES
@@ -65,7 +65,7 @@
 
 
 def test_state_changes_are_never_left_out(pipe: tuple[int, int]) -> None:
-    log = lines.LineLog('h', pipe[1], Clock())
+    log = jsonlog.JsonLog('h', pipe[1], Clock())
     for number in range(300):
         log.request('refused', request=str(number))
         log.state('member', peer=str(number), to='known')
@@ -78,7 +78,7 @@
 
     Lines that do not fit are counted, and later lines are complete again.
     """
-    log = lines.LineLog('h', pipe[1], Clock())
+    log = jsonlog.JsonLog('h', pipe[1], Clock())
     for _ in range(3000):
         log.state('config', detail='x' * 100)
     assert log.dropped
@@ -107,10 +107,10 @@
     up the rate limit of the line about the outcome, which a search for the
     request's id should find.
     """
-    log = lines.LineLog('h', pipe[1], Clock())
+    log = jsonlog.JsonLog('h', pipe[1], Clock())
     for number in range(1000):
-        if log.has_room(logbudget.LinePriority.STEP):
-            log.tell('declined', {'request': str(number)})
+        if log.try_reserve(logbudget.LinePriority.STEP):
+            log.write('declined', {'request': str(number)})
     for number in range(30):
         log.request('refused', request=str(number))
     events = [line['event'] for line in read_lines(pipe[0])]
@@ -121,9 +121,9 @@
 def test_one_served_request_per_second_is_logged(
     pipe: tuple[int, int],
 ) -> None:
-    log = lines.LineLog('h', pipe[1], Clock())
+    log = jsonlog.JsonLog('h', pipe[1], Clock())
     for number in range(400):
-        if log.has_room_for_served(number / 100):
-            log.tell('served', {'request': str(number)})
+        if log.try_reserve_served(number / 100):
+            log.write('served', {'request': str(number)})
     logged = [line['request'] for line in read_lines(pipe[0])]
     assert logged == ['0', '100', '200', '300']
--- a/testing/test_releasecoordinator.py
+++ b/testing/test_releasecoordinator.py
@@ -6,7 +6,7 @@
 
 from peridotpost.decisions import releaseplan
 from peridotpost.decisions import releasesplit
-from peridotpost.kernel import lines
+from peridotpost.kernel import jsonlog
 from peridotpost.mesh import releasecoordinator
 from peridotpost.model import errors
 from peridotpost.model import release
@@ -107,7 +107,7 @@
         fleet,
         feed,  # type: ignore[arg-type]
         random.Random(1),
-        lines.LineLog('a', -1),
+        jsonlog.JsonLog('a', -1),
     )
     await coordinator.run()
     return fleet
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -15,7 +15,7 @@
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import server as control
-from peridotpost.distribution import source as sources
+from peridotpost.distribution import storewatcher as sources
 from peridotpost.distribution import streams
 from peridotpost.distribution import uplinks
 from peridotpost.generated import control_pb2
@@ -44,7 +44,7 @@
 def make_link(node: fleets.Node) -> links.Link:
     node.replica.clock = timers.TimerService(random.Random(1))
     link = links.Link('peer', node.table, node.counts)
-    link.owes_greeting = True
+    link.hello_due = True
     return link
 
 
@@ -55,7 +55,7 @@
     node = fleets.Node('here')
     link = make_link(node)
     with pytest.raises(ValueError, match='cannot be encoded'):
-        await streams.converse(
+        await streams.run_link(
             link, never_read, failing_write, asyncio.Event()
         )
     assert node.table.links == []
@@ -73,13 +73,13 @@
 
     link.ping = ping
     conversing = asyncio.ensure_future(
-        streams.converse(link, never_read, discarding_write, asyncio.Event())
+        streams.run_link(link, never_read, discarding_write, asyncio.Event())
     )
     await asyncio.sleep(0)
     while answers:
         await link.beat()
         assert not link.over.is_set()
-    link.take(control_pb2.Frame(progress=control_pb2.Progress()))
+    link.handle_frame(control_pb2.Frame(progress=control_pb2.Progress()))
     for _ in range(links.MAX_MISSED_HEARTBEATS):
         await link.beat()
         assert not link.over.is_set()
@@ -124,7 +124,7 @@
 
     child.replica.clock = timers.TimerService(random.Random(1))
     child.replica.changed.subscribe(note)
-    ups = uplinks.Uplinks(
+    ups = uplinks.UplinkManager(
         child.replica, child.table, child.counts, 'z1', random.Random(1)
     )
     ups.bootstrap = candidates
@@ -191,7 +191,7 @@
         raise AssertionError
 
     conversing = asyncio.ensure_future(
-        streams.converse(link, slow_to_end, discarding_write, asyncio.Event())
+        streams.run_link(link, slow_to_end, discarding_write, asyncio.Event())
     )
     await asyncio.sleep(0)
     await asyncio.sleep(0)
@@ -245,7 +245,7 @@
     """Open a stream to `address` and end it, whether accepted or refused."""
     node = fleets.Node('guest')
     node.replica.clock = timers.TimerService(random.Random(1))
-    ups = uplinks.Uplinks(
+    ups = uplinks.UplinkManager(
         node.replica, node.table, node.counts, 'z1', random.Random(1)
     )
     ups.closing.set()
@@ -268,7 +268,7 @@
     # must move to another parent even if nobody closes the stream.
     child = fleets.Node('child')
     child.replica.clock = timers.TimerService(random.Random(1))
-    ups = uplinks.Uplinks(
+    ups = uplinks.UplinkManager(
         child.replica, child.table, child.counts, 'z1', random.Random(1)
     )
     ups.dial = never_connecting_dial
@@ -276,12 +276,12 @@
     child.learn([fleets.member('child')])
     async with uplinks.holding(ups):
         await asyncio.sleep(0)
-        before = ups.wanted['parent']
+        before = ups.by_name['parent']
         parent = before.candidates[0]
         assert before.peer == parent
         child.learn([fleets.member(parent, status=status)])
         ups.plan()
-        after = ups.wanted['parent']
+        after = ups.by_name['parent']
         if index is None:
             assert parent not in after.candidates
         else:
@@ -344,7 +344,7 @@
     # of 2,000 reads/s; if they stopped, they would miss new versions.
     node = fleets.Node('relay')
     platform = FailingWatchStore(fails)
-    source = sources.Source(
+    source = sources.StoreWatcher(
         platform,  # type: ignore[arg-type]
         'mesh',
         node.replica,
@@ -376,15 +376,15 @@
     # A relay that only polled the head would be seconds late.
     node = fleets.Node('relay')
     platform = DamagedHeadStore(False)
-    source = sources.Source(
+    source = sources.StoreWatcher(
         platform,  # type: ignore[arg-type]
         'mesh',
         node.replica,
         node.counts,
         random.Random(1),
     )
-    accepted = versions.Accepted(5, 1, 'id', 'a', '', 0.0, 4, mesh_text)
-    valid = store.KeyValue('head', versions.to_value(accepted), 5)
+    accepted = versions.AcceptedVersion(5, 1, 'id', 'a', '', 0.0, 4, mesh_text)
+    valid = store.KeyValue('head', versions.encode_version(accepted), 5)
     platform.items = [result.Ok(valid)]
     assert not await source.read_once()
     changed = asyncio.Event()
--- a/testing/test_tasks.py
+++ b/testing/test_tasks.py
@@ -20,7 +20,7 @@
             await release.wait()
 
     async def cleaning_up() -> None:
-        await tasks.end(inner)
+        await tasks.cancel_and_wait(inner)
 
     inner = asyncio.ensure_future(slow_to_end())
     await asyncio.sleep(0)
@@ -38,7 +38,7 @@
 
     task = asyncio.ensure_future(failing())
     await asyncio.sleep(0)
-    await tasks.end(task)
+    await tasks.cancel_and_wait(task)
     assert task.done()
 
 
@@ -60,6 +60,6 @@
 
     task = asyncio.ensure_future(dialling())
     await asyncio.sleep(0)
-    await tasks.end(task)
+    await tasks.cancel_and_wait(task)
     assert task.done()
     assert iterations == 1
--- a/testing/zones.py
+++ b/testing/zones.py
@@ -101,8 +101,10 @@
         """Return a component that makes dialling respect the partitions."""
 
         @contextlib.asynccontextmanager
-        async def installed(kernel: registry.Kernel) -> AsyncIterator[None]:
-            uplink_set = kernel.find('uplinks', uplinks.Uplinks)
+        async def installed(
+            kernel: registry.ServiceRegistry,
+        ) -> AsyncIterator[None]:
+            uplink_set = kernel.find('uplinks', uplinks.UplinkManager)
             reconciler = kernel.find('reconciler', reconcile.Reconciler)
             uplink_set.dial = self.dial_from(zone, self.stream_partitions)
             reconciler.dial = self.dial_from(zone, self.partitions)
@@ -179,7 +181,7 @@
             [self.endpoints[via]], 1.0, 5.0, counters.Counters()
         ) as store:
             head = (await versions.read_head(store, self.mesh.mesh)).unwrap()
-            proposed = versions.Accepted(
+            proposed = versions.AcceptedVersion(
                 revision=0,
                 number=0,
                 write_id=note,
@@ -192,7 +194,7 @@
             outcome = await versions.accept(
                 store, self.mesh.mesh, proposed, asyncio.sleep
             )
-        assert isinstance(outcome, versions.Won)
+        assert isinstance(outcome, versions.Committed)
         return outcome.revision
 
     def replica(self, host: str) -> replicas.Replica:
