--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -19,7 +19,7 @@
 from bench import fleets
 from bench import jsonout
 from bench import stats
-from peridotpost.border import text as document_border
+from peridotpost.border import mesh_document as document_border
 from peridotpost.decisions import fleet as fleet_rules
 from peridotpost.decisions import seeds as seed_rules
 from peridotpost.decisions import tree
@@ -68,13 +68,13 @@
         'stored_value': len(_encode_stored_value(document)),
     }
     for name, interest in scopes.items():
-        held = base.scoped(interest)
+        held = base.narrow(interest)
         full_update = version_rules.make_update(
             config.NO_CONFIG, version_rules.Holding(held, interest)
         )
         deltas = []
         for number in range(len(base.services)):
-            after = fleets.changed_version(base, number).scoped(interest)
+            after = fleets.changed_version(base, number).narrow(interest)
             update = version_rules.make_update(
                 held, version_rules.Holding(after, interest)
             )
@@ -297,16 +297,16 @@
     accepted = versions.AcceptedVersion(
         1, 1, '0' * 32, 'b', '', 0.0, 0, document
     )
-    held = base.scoped(LEAF_INTEREST)
+    held = base.narrow(LEAF_INTEREST)
     holding = version_rules.Holding(held, LEAF_INTEREST)
     new_holding = version_rules.Holding(
-        after.scoped(LEAF_INTEREST), LEAF_INTEREST
+        after.narrow(LEAF_INTEREST), LEAF_INTEREST
     )
     update = version_rules.make_update(held, new_holding)
     uncached_version = fleets.make_version()
     return {
         'relay_read_text': min_cpu_ms(
-            lambda: document_border.read_text(document, 'text'), 3
+            lambda: document_border.parse_mesh(document, 'text'), 3
         ),
         'relay_compile_version': min_cpu_ms(
             lambda: versions.compile_version(accepted), 3
@@ -318,7 +318,7 @@
             lambda: version_rules.make_update(
                 held,
                 version_rules.Holding(
-                    after.scoped(LEAF_INTEREST), LEAF_INTEREST
+                    after.narrow(LEAF_INTEREST), LEAF_INTEREST
                 ),
             )
         ),
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -70,8 +70,8 @@
 
     def judge(
         self,
-        old: Mapping[str, release.RouteRuns],
-        new: Mapping[str, release.RouteRuns],
+        old: Mapping[str, release.RouteRunCounts],
+        new: Mapping[str, release.RouteRunCounts],
     ) -> verdict.Finding | None:
         """Evaluate all runs so far; return a finding if the version is bad."""
 
@@ -84,8 +84,8 @@
 
     def judge(
         self,
-        old: Mapping[str, release.RouteRuns],
-        new: Mapping[str, release.RouteRuns],
+        old: Mapping[str, release.RouteRunCounts],
+        new: Mapping[str, release.RouteRunCounts],
     ) -> verdict.Finding | None:
         for route, runs in new.items():
             baseline = old.get(route)
@@ -142,8 +142,8 @@
     plan = releaseplan.ReleasePlan(ORDER, EXPOSURE, 0.0, 0.0)
     plan.judge = test  # type: ignore[assignment]
     ingresses = [releasesplit.ReleaseSplit() for _ in range(INGRESSES)]
-    old = {route: release.RouteRuns() for route in ROUTES}
-    new = {route: release.RouteRuns() for route in ROUTES}
+    old = {route: release.RouteRunCounts() for route in ROUTES}
+    new = {route: release.RouteRunCounts() for route in ROUTES}
     outcome = ReleaseOutcome(release.Stage.CANARY)
     for tick in range(round((DURATION_S + 3) / TICK_S)):
         now = tick * TICK_S
@@ -161,8 +161,8 @@
 def _step_plan(
     plan: releaseplan.ReleasePlan,
     ingresses: list[releasesplit.ReleaseSplit],
-    old: dict[str, release.RouteRuns],
-    new: dict[str, release.RouteRuns],
+    old: dict[str, release.RouteRunCounts],
+    new: dict[str, release.RouteRunCounts],
     tick: int,
     now: float,
 ) -> None:
@@ -186,8 +186,8 @@
 def _simulate_request(
     kind: Mapping[str, releaseload.Behaviour],
     ingresses: list[releasesplit.ReleaseSplit],
-    old: dict[str, release.RouteRuns],
-    new: dict[str, release.RouteRuns],
+    old: dict[str, release.RouteRunCounts],
+    new: dict[str, release.RouteRunCounts],
     outcome: ReleaseOutcome,
     now: float,
     randomness: random.Random,
--- a/demo/drive.py
+++ b/demo/drive.py
@@ -187,12 +187,12 @@
     answers = await operator.ask_all(
         tuple(host.admin for host in plan.hosts),
         f'/v1/timeline?request_id={request_id}',
-        models.TimelinePage,
+        models.TimelineResponse,
     )
     events = [
         event
         for answer in answers
-        if isinstance(answer.page, models.TimelinePage)
+        if isinstance(answer.page, models.TimelineResponse)
         for event in answer.page.events
     ]
     for event in sorted(events, key=lambda event: event.at):
@@ -235,14 +235,14 @@
     answers = await operator.ask_all(
         tuple(host.admin for host in plan.hosts),
         '/v1/counters',
-        models.CountersPage,
+        models.CountersResponse,
     )
     return {
         answer.page.host: sum(
             answer.page.totals.get(name, 0) for name in CONTROL_COUNTERS
         )
         for answer in answers
-        if isinstance(answer.page, models.CountersPage)
+        if isinstance(answer.page, models.CountersResponse)
     }
 
 
--- a/src/peridotpost/admin/handlers.py
+++ b/src/peridotpost/admin/handlers.py
@@ -58,7 +58,7 @@
         clock = self.kernel.find('timers', timers.TimerService)
         local_member = self.kernel.find('myself', myself.LocalMember)
         self.reply(
-            models.CountersPage(
+            models.CountersResponse(
                 host=local_member.record.host,
                 at=clock.now(),
                 totals=dict(counts.totals),
@@ -89,7 +89,7 @@
             revision=revision,
         )
         self.reply(
-            models.TimelinePage(
+            models.TimelineResponse(
                 events=[
                     models.TimelineEvent(**dataclasses.asdict(event))
                     for event in selected
--- a/src/peridotpost/admin/models.py
+++ b/src/peridotpost/admin/models.py
@@ -5,7 +5,7 @@
 
 import pydantic
 
-from peridotpost.border import text
+from peridotpost.border import mesh_document
 
 Port = Annotated[int, pydantic.Field(gt=0, le=65535, strict=True)]
 
@@ -15,7 +15,7 @@
 
     model_config = pydantic.ConfigDict(extra='forbid')
 
-    name: text.Name
+    name: mesh_document.Name
     port: Port
     slots: Annotated[int, pydantic.Field(gt=0, le=100_000)]
     connections: Annotated[int, pydantic.Field(gt=0, le=1_000_000)] = 128
@@ -73,7 +73,7 @@
     relays: list[RelayAddress]
 
 
-class RolloutPage(pydantic.BaseModel):
+class RolloutResponse(pydantic.BaseModel):
     """Rollout progress of the responding daemon and those that report to it.
 
     `daemons` counts the responding daemon and all that report to it;
@@ -101,13 +101,13 @@
     detail: str
 
 
-class TimelinePage(pydantic.BaseModel):
+class TimelineResponse(pydantic.BaseModel):
     """Recent events, filtered by the query."""
 
     events: list[TimelineEvent]
 
 
-class CountersPage(pydantic.BaseModel):
+class CountersResponse(pydantic.BaseModel):
     """Current values of all counters."""
 
     host: str
--- a/src/peridotpost/admin/rollout.py
+++ b/src/peridotpost/admin/rollout.py
@@ -14,14 +14,14 @@
 from peridotpost.membership import myself
 
 
-def rollout_page(kernel: registry.ServiceRegistry) -> models.RolloutPage:
+def rollout_page(kernel: registry.ServiceRegistry) -> models.RolloutResponse:
     """Return the progress of the daemon and of all that report to it."""
     replica = kernel.find('replica', replicas.Replica)
     local_member = kernel.find('myself', myself.LocalMember)
     reported = kernel.find('links', links.LinkTable).progress
     zone = local_member.record.availability_zone
     live = replica.fleet.live_hosts(zone)
-    return models.RolloutPage(
+    return models.RolloutResponse(
         host=replica.host,
         availability_zone=zone,
         revision=replica.version.revision,
--- a/src/peridotpost/border/loglines.py
+++ b/src/peridotpost/border/loglines.py
@@ -78,7 +78,7 @@
         return sum(line.left_out + line.dropped for line in self.lines)
 
 
-def read_folder(folder: pathlib.Path) -> Logs:
+def read_directory(folder: pathlib.Path) -> Logs:
     """Read all files in a directory.
 
     A prefix that a log collector put before the JSON of a line is ignored.
--- a/src/peridotpost/border/text.py
+++ b/src/peridotpost/border/mesh_document.py
@@ -57,7 +57,7 @@
     calls: list[CallText] = []
 
 
-class MeshText(_StrictModel):
+class MeshDocument(_StrictModel):
     """Configuration of a mesh."""
 
     mesh: Name
@@ -65,7 +65,7 @@
     services: Annotated[dict[Name, ServiceText], pydantic.Field(min_length=1)]
 
 
-def read_text(text: str, file: str) -> MeshText:
+def parse_mesh(text: str, file: str) -> MeshDocument:
     """Parse and validate a configuration document.
 
     :raises document.DocumentError: with the line of each error.
@@ -79,7 +79,7 @@
         raise document.DocumentError([document.Problem(file, '', 0, message)])
     parsed = document.read_yaml(text, file)
     try:
-        mesh = MeshText.model_validate(parsed.data)
+        mesh = MeshDocument.model_validate(parsed.data)
     except pydantic.ValidationError as error:
         raise document.DocumentError(parsed.problems_of(error)) from error
     problems = list(_problems(mesh, parsed))
@@ -89,7 +89,7 @@
 
 
 def _problems(
-    mesh: MeshText, parsed: document.Document
+    mesh: MeshDocument, parsed: document.Document
 ) -> Iterator[document.Problem]:
     yield from _duplicate_names(
         mesh.availability_zones, ('availability_zones',), parsed
@@ -136,7 +136,7 @@
         seen.add((call.method, call.path))
 
 
-def _dependency_cycle(mesh: MeshText) -> list[str]:
+def _dependency_cycle(mesh: MeshDocument) -> list[str]:
     """Return the services along a dependency cycle; empty if there is none."""
     graph = {
         name: service.depends_on for name, service in mesh.services.items()
@@ -150,7 +150,7 @@
 
 
 def to_config(
-    mesh: MeshText, revision: int, write_id: str
+    mesh: MeshDocument, revision: int, write_id: str
 ) -> config.ConfigVersion:
     """Convert a validated document to a version for the daemons."""
     return config.ConfigVersion(
--- a/src/peridotpost/border/proxy.py
+++ b/src/peridotpost/border/proxy_settings.py
@@ -16,7 +16,7 @@
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 
 
-class BadSettings(errors.PeridotError):
+class InvalidSettings(errors.PeridotError):
     """The settings file is invalid; the message names the field."""
 
 
@@ -115,7 +115,7 @@
         split_address(settings.store, 'store')
         split_address(settings.target, 'target')
     except (OSError, msgspec.MsgspecError, ValueError) as error:
-        raise BadSettings(
+        raise InvalidSettings(
             f'{error}; correct the file and start again',
             step='settings.load',
             peer=str(path),
--- a/src/peridotpost/border/reference.py
+++ b/src/peridotpost/border/reference.py
@@ -13,9 +13,9 @@
 from msgspec import inspect as msgspec_inspect
 import pydantic
 
-from peridotpost.border import proxy
+from peridotpost.border import mesh_document
+from peridotpost.border import proxy_settings
 from peridotpost.border import settings
-from peridotpost.border import text
 
 PARAM = re.compile(r':param (\w+):(.*?)(?=\n\s*:param |\Z)', re.DOTALL)
 BOUNDS = {
@@ -61,13 +61,16 @@
     for title, sections in (
         (
             '`peridot-proxy`: settings, JSON',
-            _struct_sections(proxy.ProxySettings),
+            _struct_sections(proxy_settings.ProxySettings),
         ),
         (
             '`peridotd`: settings, JSON',
             _model_sections(settings.DaemonSettings),
         ),
-        ('Mesh configuration, YAML', _model_sections(text.MeshText)),
+        (
+            'Mesh configuration, YAML',
+            _model_sections(mesh_document.MeshDocument),
+        ),
     ):
         parts.append(f'## {title}\n')
         parts += [_table(section) for section in sections]
--- a/src/peridotpost/border/settings.py
+++ b/src/peridotpost/border/settings.py
@@ -7,7 +7,7 @@
 import pydantic
 
 from peridotpost.border import document
-from peridotpost.border import text
+from peridotpost.border import mesh_document
 
 Port = Annotated[int, pydantic.Field(ge=0, le=65535, strict=True)]
 Seconds = Annotated[float, pydantic.Field(gt=0, le=3600)]
@@ -73,9 +73,9 @@
 class DaemonSettings(_StrictModel):
     """All settings of ``peridotd``."""
 
-    host: text.Name
-    availability_zone: text.Name
-    mesh: text.Name
+    host: mesh_document.Name
+    availability_zone: mesh_document.Name
+    mesh: mesh_document.Name
     address: str = '127.0.0.1'
     ingress: bool = True
     peers: list[str] = []
--- a/src/peridotpost/calls/ingress.py
+++ b/src/peridotpost/calls/ingress.py
@@ -163,7 +163,7 @@
             )
         self._check_allowed(service, headers)
         spec = route.spec
-        rule = spec.rule_for(start.method, start.path)
+        rule = spec.find_rule(start.method, start.path)
         depth = _read_number(headers, guards.DEPTH_HEADER, 0)
         if depth >= MAX_DEPTH:
             raise RefusedRequest(
--- a/src/peridotpost/calls/schedule_keeper.py
+++ b/src/peridotpost/calls/schedule_keeper.py
@@ -61,7 +61,7 @@
             tuple(_from_row(*row) for row in plain['spans']),
         )
     except (zlib.error, ValueError, KeyError, TypeError) as error:
-        raise errors.StoreGarbage(
+        raise errors.StoreProtocolError(
             repr(error), step='schedule.read', peer=kv.key
         ) from error
 
@@ -243,7 +243,7 @@
             return
         try:
             self._adopt(decode(kv), kv.revision)
-        except errors.StoreGarbage:
+        except errors.StoreProtocolError:
             self.counts.add('schedule.garbage')
 
     def _adopt(self, schedule: ownership.Schedule, revision: int) -> None:
--- a/src/peridotpost/cli/operator.py
+++ b/src/peridotpost/cli/operator.py
@@ -13,7 +13,7 @@
 from tornado import httpclient
 
 from peridotpost.border import document
-from peridotpost.border import text as text_border
+from peridotpost.border import mesh_document as text_border
 from peridotpost.kernel import counters
 from peridotpost.model import errors
 from peridotpost.store import etcd
@@ -126,9 +126,9 @@
     )
 
 
-def mesh_of(text: str, file: str) -> text_border.MeshText:
+def mesh_of(text: str, file: str) -> text_border.MeshDocument:
     """Parse and validate a text; raises what ``text.read_text`` does."""
-    return text_border.read_text(text, file)
+    return text_border.parse_mesh(text, file)
 
 
 async def ask_all(
--- a/src/peridotpost/cli/proxy_command.py
+++ b/src/peridotpost/cli/proxy_command.py
@@ -10,7 +10,7 @@
 import click
 import uvloop
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from peridotpost.kernel import jsonlog
 from peridotpost.mesh import daemon
 from peridotpost.platform import assembly
@@ -36,7 +36,7 @@
     """Serve this host: ingress for callers and guard of its target."""
     try:
         settings = border.load(path)
-    except border.BadSettings as error:
+    except border.InvalidSettings as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_INVALID_SETTINGS)
     if check:
@@ -75,7 +75,7 @@
     """Validate changed settings; they take effect at the next start."""
     try:
         new_settings = border.load(path)
-    except border.BadSettings as error:
+    except border.InvalidSettings as error:
         log.state('settings', to='rejected', error=str(error))
         return
     log.state('settings', to='read', changed=new_settings != running)
--- a/src/peridotpost/cli/subcommands/fleet.py
+++ b/src/peridotpost/cli/subcommands/fleet.py
@@ -202,12 +202,12 @@
         replies = await operator.ask_all(
             daemons,
             f'/v1/timeline?{urllib.parse.urlencode(query)}',
-            models.TimelinePage,
+            models.TimelineResponse,
         )
         events = [
             event
             for reply in replies
-            if isinstance(reply.page, models.TimelinePage)
+            if isinstance(reply.page, models.TimelineResponse)
             for event in reply.page.events
             if host in ('', event.host)
         ]
--- a/src/peridotpost/cli/subcommands/fleetlogs.py
+++ b/src/peridotpost/cli/subcommands/fleetlogs.py
@@ -10,7 +10,7 @@
 from peridotpost.border import loglines
 from peridotpost.cli import common
 from peridotpost.cli.subcommands import output
-from peridotpost.reports import story
+from peridotpost.reports import explanation
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 def explain(folder: pathlib.Path, request: str, as_json: bool) -> int:
     """Print the history of a request; return the exit code."""
     logs = _read_logs(folder)
-    history = story.tell(logs, request)
+    history = explanation.explain_request(logs, request)
     steps = [_format_line(line) for line in history.steps]
     around = [_format_line(line) for line in history.around]
     output_lines = [f'{request}: {history.cause}', 'decisions:', *steps]
@@ -62,7 +62,7 @@
 
 
 def _read_logs(folder: pathlib.Path) -> loglines.Logs:
-    logs = loglines.read_folder(folder)
+    logs = loglines.read_directory(folder)
     if logs.unreadable or logs.left_out:
         click.echo(
             f'{len(logs.lines)} lines read; {logs.unreadable} are no log '
--- a/src/peridotpost/cli/subcommands/rollout.py
+++ b/src/peridotpost/cli/subcommands/rollout.py
@@ -71,7 +71,7 @@
     addresses = tuple(
         relay.admin for zone in page.zones for relay in zone.relays
     )
-    replies = await operator.ask_all(addresses, PAGE, models.RolloutPage)
+    replies = await operator.ask_all(addresses, PAGE, models.RolloutResponse)
     reports = [
         rules.RelayReport(
             reply.page.availability_zone,
@@ -80,7 +80,7 @@
             reply.page.covers_zone,
         )
         for reply in replies
-        if isinstance(reply.page, models.RolloutPage)
+        if isinstance(reply.page, models.RolloutResponse)
     ]
     return [
         rules.combine_reports(zone.availability_zone, zone.live, reports)
@@ -88,11 +88,13 @@
     ]
 
 
-async def _first_page(daemons: tuple[str, ...]) -> models.RolloutPage:
+async def _first_page(daemons: tuple[str, ...]) -> models.RolloutResponse:
     last_error = ''
     for address in daemons:
-        (reply,) = await operator.ask_all((address,), PAGE, models.RolloutPage)
-        if isinstance(reply.page, models.RolloutPage):
+        (reply,) = await operator.ask_all(
+            (address,), PAGE, models.RolloutResponse
+        )
+        if isinstance(reply.page, models.RolloutResponse):
             return reply.page
         last_error = reply.error
     raise errors.PeridotError(
--- a/src/peridotpost/decisions/attempts.py
+++ b/src/peridotpost/decisions/attempts.py
@@ -66,7 +66,7 @@
     runs: int = 0
     lost: str = ''
     failed: forwarding.TargetAnswer | None = None
-    repeat: forwarding.Repeat = forwarding.Repeat.NONE
+    repeat: forwarding.RetryCause = forwarding.RetryCause.NONE
 
     @property
     def is_last_attempt(self) -> bool:
@@ -79,13 +79,13 @@
             return self._after_refusal(outcome, now)
         self.arrivals += 1
         self.runs += 1
-        if isinstance(outcome, forwarding.Lost):
+        if isinstance(outcome, forwarding.ResponseLost):
             self.lost = outcome.detail
             return self._retry_or(Action.GIVE_UP, now)
         if outcome.status < FAILED_STATUS:
             return Action.ANSWER
         self.failed = outcome
-        self.repeat = forwarding.Repeat.AFTER_FAILURE
+        self.repeat = forwarding.RetryCause.AFTER_FAILURE
         return self._retry_or(Action.ANSWER, now)
 
     def may_retry(self, now: float) -> bool:
@@ -121,8 +121,8 @@
 
     def _retry_if_allowed(self, now: float) -> Action:
         """Return the next step after a dispatch that arrived at a target."""
-        if self.repeat is forwarding.Repeat.NONE:
-            self.repeat = forwarding.Repeat.AGAIN
+        if self.repeat is forwarding.RetryCause.NONE:
+            self.repeat = forwarding.RetryCause.REFUSED_OR_LOST
         if self.runs >= self.max_attempts:
             return Action.GIVE_UP
         if self.deadline - now < MIN_RETRY_S:
--- a/src/peridotpost/decisions/budget.py
+++ b/src/peridotpost/decisions/budget.py
@@ -62,13 +62,13 @@
         self.slices: collections.deque[WindowSlice] = collections.deque()
 
     def admits(
-        self, repeat: forwarding.Repeat, targets: int, now: float
+        self, repeat: forwarding.RetryCause, targets: int, now: float
     ) -> bool:
         """Whether a request may be sent to the target now.
 
         :param targets: number of known targets of the service.
         """
-        if repeat is forwarding.Repeat.NONE:
+        if repeat is forwarding.RetryCause.NONE:
             return True
         current = self._current_slice(now)
         # A partitioned host sees few targets; its part must not grow by that.
@@ -76,7 +76,7 @@
         first_arrivals = sum(item.first_arrivals for item in self.slices)
         most_targets = max(item.targets for item in self.slices)
         allowed = self.ratio * first_arrivals + self.extra / most_targets
-        if repeat is forwarding.Repeat.AFTER_FAILURE:
+        if repeat is forwarding.RetryCause.AFTER_FAILURE:
             failed = sum(item.failed for item in self.slices)
             if failed + 1 > FAILURE_RETRY_SHARE * allowed:
                 return False
@@ -86,7 +86,7 @@
         )
 
     def sent(
-        self, repeat: forwarding.Repeat, inherited: float, now: float
+        self, repeat: forwarding.RetryCause, inherited: float, now: float
     ) -> None:
         """Count a request that is sent to the target.
 
@@ -94,12 +94,12 @@
             0 to 1.
         """
         current = self._current_slice(now)
-        if repeat is forwarding.Repeat.NONE:
+        if repeat is forwarding.RetryCause.NONE:
             current.first_arrivals += 1
             current.repeats += inherited
             return
         current.repeats += 1
-        current.failed += repeat is forwarding.Repeat.AFTER_FAILURE
+        current.failed += repeat is forwarding.RetryCause.AFTER_FAILURE
 
     def _current_slice(self, now: float) -> WindowSlice:
         number = int(now / self.slice_s)
--- a/src/peridotpost/decisions/incarnations.py
+++ b/src/peridotpost/decisions/incarnations.py
@@ -25,14 +25,16 @@
 
     def offer(self, announcement: instances.Announcement) -> bool:
         """Apply an announcement; return whether it changed anything."""
-        if announcement.born_ms <= self.ended.get(announcement.instance, -1):
+        if announcement.started_ms <= self.ended.get(
+            announcement.instance, -1
+        ):
             return False
         current = self.current
         if current is not None and not _is_newer(announcement, current):
             return False
         self.current = announcement
         if announcement.state is not instances.InstanceState.READY:
-            self._record_end(announcement.instance, announcement.born_ms)
+            self._record_end(announcement.instance, announcement.started_ms)
         return current is None or _differs(announcement, current)
 
     def leave(self, instance: str, born_ms: int) -> bool:
@@ -41,7 +43,7 @@
         current = self.current
         if current is None or current.instance != instance:
             return False
-        if current.born_ms > born_ms:
+        if current.started_ms > born_ms:
             return False
         self.current = None
         return True
@@ -55,8 +57,8 @@
 def _is_newer(
     announcement: instances.Announcement, current: instances.Announcement
 ) -> bool:
-    if announcement.born_ms != current.born_ms:
-        return announcement.born_ms > current.born_ms
+    if announcement.started_ms != current.started_ms:
+        return announcement.started_ms > current.started_ms
     if announcement.instance != current.instance:
         return True
     return announcement.sequence > current.sequence
@@ -67,7 +69,7 @@
 ) -> bool:
     return (
         announcement.instance != current.instance
-        or announcement.born_ms != current.born_ms
+        or announcement.started_ms != current.started_ms
         or announcement.service != current.service
         or announcement.state is not current.state
         or announcement.slots != current.slots
--- a/src/peridotpost/decisions/releaseplan.py
+++ b/src/peridotpost/decisions/releaseplan.py
@@ -147,7 +147,7 @@
     def _step_canary(
         self,
         view: FleetView,
-        new_runs: dict[str, release.RouteRuns],
+        new_runs: dict[str, release.RouteRunCounts],
         now: float,
     ) -> None:
         if not view.new_hosts:
--- a/src/peridotpost/decisions/releasesplit.py
+++ b/src/peridotpost/decisions/releasesplit.py
@@ -83,8 +83,8 @@
         """
         state = self.state(order.service)
         if state is None or state.order.revision >= order.revision:
-            return state.banned if state is not None else ()
-        versions = set(state.banned)
+            return state.rejected_versions if state is not None else ()
+        versions = set(state.rejected_versions)
         if state.stage is not release.Stage.COMPLETED:
             versions.add(state.order.version)
         return tuple(sorted(versions - {order.version}))
@@ -130,7 +130,7 @@
         if state is None:
             return False
         is_new = version == state.order.version
-        if version in state.banned:
+        if version in state.rejected_versions:
             return True
         if state.stage is release.Stage.ROLLED_BACK:
             return is_new
@@ -152,11 +152,11 @@
             return self._targets_of_first_version(service, candidates, now)
         version = state.order.version
         stage = state.stage
-        if state.banned:
+        if state.rejected_versions:
             candidates = [
                 candidate
                 for candidate in candidates
-                if candidate.version not in state.banned
+                if candidate.version not in state.rejected_versions
             ]
         if stage is release.Stage.ROLLED_BACK:
             return [
@@ -184,7 +184,7 @@
         focused = [
             candidate
             for candidate in new_targets
-            if candidate.host == state.focus
+            if candidate.host == state.canary_host
         ]
         return focused or new_targets
 
--- a/src/peridotpost/decisions/split.py
+++ b/src/peridotpost/decisions/split.py
@@ -17,10 +17,10 @@
 
     def __init__(self) -> None:
         self.credits: dict[
-            tuple[str, tuple[mesh.Share, ...]], list[float]
+            tuple[str, tuple[mesh.WeightedService, ...]], list[float]
         ] = {}
 
-    def pick(self, route: str, shares: Sequence[mesh.Share]) -> str:
+    def pick(self, route: str, shares: Sequence[mesh.WeightedService]) -> str:
         """Return the service that gets the next request."""
         if len(shares) == 1:
             return shares[0].service
--- a/src/peridotpost/decisions/tables.py
+++ b/src/peridotpost/decisions/tables.py
@@ -61,7 +61,7 @@
         cached = self.table.routes.get(name)
         if cached is None or name in self.stale:
             hosts = self.members_by_service.get(name, {})
-            return routing.route_over(spec, hosts.values())
+            return routing.build_route(spec, hosts.values())
         if cached.spec is spec:
             return cached
         return routing.Route(spec, cached.endpoints)
--- a/src/peridotpost/decisions/verdict.py
+++ b/src/peridotpost/decisions/verdict.py
@@ -108,16 +108,16 @@
 
     def __init__(self) -> None:
         self.cusums: dict[tuple[str, str], _Cusum] = {}
-        self.counted_by_route: dict[str, release.RouteRuns] = {}
+        self.counted_by_route: dict[str, release.RouteRunCounts] = {}
 
     def judge(
         self,
-        old: Mapping[str, release.RouteRuns],
-        new: Mapping[str, release.RouteRuns],
+        old: Mapping[str, release.RouteRunCounts],
+        new: Mapping[str, release.RouteRunCounts],
     ) -> Finding | None:
         """Evaluate all runs so far; return a finding if they are bad."""
         for route, runs in new.items():
-            baseline = old.get(route, release.RouteRuns())
+            baseline = old.get(route, release.RouteRunCounts())
             new_runs = _runs_since(runs, self.counted_by_route.get(route))
             self.counted_by_route[route] = _copy_runs(runs)
             failed_share = _failed_share(baseline)
@@ -146,28 +146,30 @@
 
 def runs_by_route(
     reports: Iterable[release.TargetReport],
-) -> dict[str, release.RouteRuns]:
+) -> dict[str, release.RouteRunCounts]:
     """Add up the runs of several targets, by route."""
-    total: dict[str, release.RouteRuns] = {}
+    total: dict[str, release.RouteRunCounts] = {}
     for report in reports:
         for route, runs in report.by_route.items():
-            route_total = total.setdefault(route, release.RouteRuns())
+            route_total = total.setdefault(route, release.RouteRunCounts())
             route_total.runs += runs.runs
             route_total.failed += runs.failed
-            for bucket, count in runs.by_time.items():
-                route_total.by_time[bucket] = (
-                    route_total.by_time.get(bucket, 0) + count
+            for bucket, count in runs.by_run_time.items():
+                route_total.by_run_time[bucket] = (
+                    route_total.by_run_time.get(bucket, 0) + count
                 )
     return total
 
 
-def _copy_runs(runs: release.RouteRuns) -> release.RouteRuns:
-    return release.RouteRuns(runs.runs, runs.failed, dict(runs.by_time))
+def _copy_runs(runs: release.RouteRunCounts) -> release.RouteRunCounts:
+    return release.RouteRunCounts(
+        runs.runs, runs.failed, dict(runs.by_run_time)
+    )
 
 
 def _runs_since(
-    runs: release.RouteRuns, before: release.RouteRuns | None
-) -> release.RouteRuns:
+    runs: release.RouteRunCounts, before: release.RouteRunCounts | None
+) -> release.RouteRunCounts:
     """Return the runs added since `before`.
 
     A daemon that restarted counts from zero again, so a difference may be
@@ -175,35 +177,35 @@
     """
     if before is None:
         return runs
-    return release.RouteRuns(
+    return release.RouteRunCounts(
         max(0, runs.runs - before.runs),
         max(0, runs.failed - before.failed),
         {
-            bucket: max(0, count - before.by_time.get(bucket, 0))
-            for bucket, count in runs.by_time.items()
+            bucket: max(0, count - before.by_run_time.get(bucket, 0))
+            for bucket, count in runs.by_run_time.items()
         },
     )
 
 
-def _failed_share(baseline: release.RouteRuns) -> float:
+def _failed_share(baseline: release.RouteRunCounts) -> float:
     if baseline.runs < MIN_OLD_RUNS:
         return DEFAULT_FAILED_SHARE
     return baseline.failed / baseline.runs
 
 
 def _count_slow(
-    baseline: release.RouteRuns, new_runs: release.RouteRuns
+    baseline: release.RouteRunCounts, new_runs: release.RouteRunCounts
 ) -> tuple[int, int, float]:
     """Return the slow and the timed runs, and the baseline's slow share."""
-    baseline_timed = sum(baseline.by_time.values())
+    baseline_timed = sum(baseline.by_run_time.values())
     if baseline_timed < MIN_OLD_RUNS:
         # The old version has too few runs to derive a bound.
         return 0, 0, DEFAULT_SLOW_SHARE
-    median = _median(baseline.by_time, baseline_timed)
+    median = _median(baseline.by_run_time, baseline_timed)
     bound = max(median + SLOW_BUCKETS_ABOVE_MEDIAN, bucket_of(MIN_SLOW_S))
-    share = _count_from(baseline.by_time, bound) / baseline_timed
-    timed = sum(new_runs.by_time.values())
-    return _count_from(new_runs.by_time, bound), timed, share
+    share = _count_from(baseline.by_run_time, bound) / baseline_timed
+    timed = sum(new_runs.by_run_time.values())
+    return _count_from(new_runs.by_run_time, bound), timed, share
 
 
 def _median(by_time: Mapping[int, int], timed: int) -> int:
--- a/src/peridotpost/decisions/versions.py
+++ b/src/peridotpost/decisions/versions.py
@@ -139,7 +139,7 @@
     """Cut `holding` to `wanted` if it covers that scope."""
     if holding.scope == wanted or not covers(holding.scope, wanted):
         return holding
-    return Holding(holding.version.scoped(wanted), wanted)
+    return Holding(holding.version.narrow(wanted), wanted)
 
 
 def _apply(
--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -226,7 +226,7 @@
             # has just become a parent is interested in everything but
             # still holds its former part.
             return None
-        scoped = held.scoped(self.interest)
+        scoped = held.narrow(self.interest)
         if scoped == self.peer_version:
             return None
         base = self.peer_version
@@ -268,7 +268,7 @@
             )
         self.peer = hello.host
         self.interest = wire.interest_from_wire(hello.interest)
-        scoped = self.replica.version.scoped(self.interest)
+        scoped = self.replica.version.narrow(self.interest)
         holding = versions.Holding(scoped, self.interest)
         same = (
             scoped.revision == hello.revision
@@ -328,7 +328,7 @@
         elif verdict is versions.Verdict.APPLIED:
             if versions.covers(self.replica.scope, self.interest):
                 held = self.replica.version
-                self.peer_version = held.scoped(self.interest)
+                self.peer_version = held.narrow(self.interest)
 
     def _handle_progress(self, message: control_pb2.Progress) -> None:
         received = progress.Progress(
--- a/src/peridotpost/distribution/replica.py
+++ b/src/peridotpost/distribution/replica.py
@@ -102,7 +102,7 @@
         self, version: config.ConfigVersion, source: str
     ) -> versions.Verdict:
         """Offer a complete version, such as one read from the store."""
-        scoped = version.scoped(self.interest)
+        scoped = version.narrow(self.interest)
         target = versions.Holding(scoped, self.interest)
         update = versions.make_update(config.NO_CONFIG, target)
         return self.offer_config(update, source)
--- a/src/peridotpost/distribution/server.py
+++ b/src/peridotpost/distribution/server.py
@@ -125,7 +125,7 @@
             )
         facts.differing.extend(sorted(fleet.differing(digest.member_sums)))
         interest = wire.interest_from_wire(digest.interest)
-        scoped = self.replica.version.scoped(interest)
+        scoped = self.replica.version.narrow(interest)
         target = versions.Holding(scoped, interest)
         newer_here = scoped.revision > digest.revision or (
             scoped.revision == digest.revision
--- a/src/peridotpost/distribution/storewatcher.py
+++ b/src/peridotpost/distribution/storewatcher.py
@@ -70,7 +70,9 @@
         """Read the head; False if the store gave no valid response."""
         head = await versions.read_head(self.platform, self.mesh)
         if isinstance(head, result.Err):
-            self.garbage = isinstance(head.err_value, errors.StoreGarbage)
+            self.garbage = isinstance(
+                head.err_value, errors.StoreProtocolError
+            )
             if self.garbage:
                 self._note_rejected(head.err_value)
             self._note_unreachable(head.err_value)
--- a/src/peridotpost/distribution/wire.py
+++ b/src/peridotpost/distribution/wire.py
@@ -173,7 +173,7 @@
     changed: dict[str, config.ServiceSpec] = {}
     for entry in message.services:
         try:
-            changed[entry.name] = config.service_from_body(entry.body)
+            changed[entry.name] = config.parse_service(entry.body)
         except ValueError as error:
             raise errors.CodecError(
                 str(error), step='wire.config', peer=entry.name
--- a/src/peridotpost/experiment/hosts.py
+++ b/src/peridotpost/experiment/hosts.py
@@ -86,7 +86,7 @@
         if order.settled:
             return
         targets = len(self.fleet.by_service[order.service])
-        if not self.budget.admits(order.repeat, targets, clock.now):
+        if not self.budget.admits(order.retry_cause, targets, clock.now):
             order.settle(
                 forwarding.Refused(forwarding.Refusal.NO_RETRY_BUDGET)
             )
@@ -122,8 +122,10 @@
         """Do the work and the calls of a run; answer when both are done."""
         fleet = self.fleet
         route = fleet.routes[order.route]
-        self.budget.sent(order.repeat, order.inherited, fleet.clock.now)
-        if order.repeat:
+        self.budget.sent(
+            order.retry_cause, order.inherited_retry_weight, fleet.clock.now
+        )
+        if order.retry_cause:
             fleet.route_results[order.route].repeats += 1
         phase = fleet.ailing(self)
         if phase is not None and fleet.work_rng.random() < phase.sheds:
--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -74,7 +74,7 @@
         self._dispatch(pending)
 
     def _on_deadline(self, pending: PendingRequest) -> None:
-        self._complete(pending, forwarding.Lost('no answer in time'))
+        self._complete(pending, forwarding.ResponseLost('no answer in time'))
 
     def _complete(
         self, pending: PendingRequest, outcome: forwarding.Outcome
@@ -181,7 +181,7 @@
             last=pending.last_asked,
             done=settled,
             route=route.name,
-            repeat=pending.attempts.repeat,
+            retry_cause=pending.attempts.repeat,
         )
 
     def _on_outcome(
--- a/src/peridotpost/membership/seeds.py
+++ b/src/peridotpost/membership/seeds.py
@@ -56,7 +56,9 @@
         )
     except (ValueError, LookupError, TypeError, RecursionError) as error:
         return result.Err(
-            errors.StoreGarbage(repr(error), step='seeds.read', peer=kv.key)
+            errors.StoreProtocolError(
+                repr(error), step='seeds.read', peer=kv.key
+            )
         )
     return result.Ok(seed)
 
--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -7,7 +7,7 @@
 import random
 import time
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from peridotpost.decisions import budget
 from peridotpost.decisions import following
 from peridotpost.decisions import peerqueries
--- a/src/peridotpost/mesh/releasecoordinator.py
+++ b/src/peridotpost/mesh/releasecoordinator.py
@@ -298,10 +298,10 @@
             number=self.number,
             stage=stage,
             share=share,
-            focus=focus,
+            canary_host=focus,
             elapsed_s=max(0.0, deadlines.now() - self.ordered_at),
             coordinator=self.fleet.own_report.host,
-            banned=self.banned,
+            rejected_versions=self.banned,
         )
         self.fleet.offer(state)
         self.fleet.broadcast(state)
--- a/src/peridotpost/mesh/releases.py
+++ b/src/peridotpost/mesh/releases.py
@@ -224,10 +224,12 @@
     def _count_run(self, end: guards.RunEnd) -> None:
         """Count a run of the own target."""
         runs = self.own_report.by_route.setdefault(
-            end.order.route, release.RouteRuns()
+            end.order.route, release.RouteRunCounts()
         )
         answered = isinstance(end.outcome, forwarding.TargetAnswer)
-        if not answered and not isinstance(end.outcome, forwarding.Lost):
+        if not answered and not isinstance(
+            end.outcome, forwarding.ResponseLost
+        ):
             return
         if end.order.call_failed:
             # A failed downstream call is not the target's own failure.
@@ -237,7 +239,7 @@
         runs.failed += status >= MIN_FAILED_STATUS
         if end.at >= self.cold_until:
             bucket = verdict.bucket_of(end.at - end.order.started)
-            runs.by_time[bucket] = runs.by_time.get(bucket, 0) + 1
+            runs.by_run_time[bucket] = runs.by_run_time.get(bucket, 0) + 1
 
     def own_stage(self) -> int:
         """Return the stage of the own service's release, 0 if it has none."""
--- a/src/peridotpost/mesh/storefeed.py
+++ b/src/peridotpost/mesh/storefeed.py
@@ -287,7 +287,7 @@
                 await self._renew_or_register()
                 pause_s = MIN_RETRY_PAUSE_S
                 self._note_call_result(True)
-            except errors.LeaseLapsed:
+            except errors.LeaseExpired:
                 self._handle_lapsed_lease()
             except errors.StoreError as error:
                 self.counts.add('store.record-failed')
--- a/src/peridotpost/model/config.py
+++ b/src/peridotpost/model/config.py
@@ -64,7 +64,7 @@
             fields, sort_keys=True, separators=(',', ':')
         ).encode()
 
-    def rule_for(self, method: str, path: str) -> CallRule:
+    def find_rule(self, method: str, path: str) -> CallRule:
         """Return the matching rule with the longest prefix.
 
         Without a match, return a rule made of the service's defaults.
@@ -78,7 +78,7 @@
         return best or CallRule(method, '/', self.idempotent, self.deadline_ms)
 
 
-def service_from_body(body: bytes) -> ServiceSpec:
+def parse_service(body: bytes) -> ServiceSpec:
     """Parse the output of :attr:`ServiceSpec.body`.
 
     :raises ValueError: `body` is not a serialized service.
@@ -144,7 +144,7 @@
             sha256.update(self.services[name].body)
         return sha256.digest()
 
-    def scoped(self, interest: Interest) -> 'ConfigVersion':
+    def narrow(self, interest: Interest) -> 'ConfigVersion':
         """Return the version reduced to the services in `interest`."""
         if interest.everything:
             return self
--- a/src/peridotpost/model/errors.py
+++ b/src/peridotpost/model/errors.py
@@ -28,7 +28,7 @@
     """The store did not respond; a write may or may not have been applied."""
 
 
-class StoreGarbage(StoreError):
+class StoreProtocolError(StoreError):
     """The store's response violates its protocol."""
 
 
@@ -40,7 +40,7 @@
     """The request exceeded the store's quota; it may be retried later."""
 
 
-class LeaseLapsed(StoreRefused):
+class LeaseExpired(StoreRefused):
     """A write referred to a lease that has expired."""
 
 
--- a/src/peridotpost/model/forwarding.py
+++ b/src/peridotpost/model/forwarding.py
@@ -21,7 +21,7 @@
     NO_RETRY_BUDGET = 'no-retry-budget'
 
 
-class Repeat(enum.IntEnum):
+class RetryCause(enum.IntEnum):
     """Why a request is sent to a target after another one had got it.
 
     ``AGAIN``: the other target refused it, or its response was lost.
@@ -29,7 +29,7 @@
     """
 
     NONE = 0
-    AGAIN = 1
+    REFUSED_OR_LOST = 1
     AFTER_FAILURE = 2
 
 
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class ResponseLost:
     """The target may have run the request, but its response is lost.
 
     :param detail: what was observed, for the log.
@@ -72,7 +72,7 @@
     crashed: bool = False
 
 
-Outcome = TargetAnswer | Refused | Lost
+Outcome = TargetAnswer | Refused | ResponseLost
 
 
 def _never() -> bool:
@@ -124,17 +124,17 @@
     started: float = 0.0
     run_s: float = 0.0
     received: float = 0.0
-    repeat: Repeat = Repeat.NONE
-    inherited: float = 0.0
+    retry_cause: RetryCause = RetryCause.NONE
+    inherited_retry_weight: float = 0.0
     call_failed: bool = False
-    body_later: bool = False
+    body_deferred: bool = False
     fetch_body: Callable[[], None] | None = None
     may_move: Callable[[], bool] = _never
 
     @property
-    def repeat_weight(self) -> float:
+    def retry_weight(self) -> float:
         """What the run counts for as a retry, 0 to 1."""
-        return 1.0 if self.repeat else self.inherited
+        return 1.0 if self.retry_cause else self.inherited_retry_weight
 
     def settle(self, outcome: Outcome) -> None:
         """Report the outcome; a second one is dropped.
--- a/src/peridotpost/model/instances.py
+++ b/src/peridotpost/model/instances.py
@@ -24,7 +24,7 @@
     """
 
     instance: str
-    born_ms: int
+    started_ms: int
     sequence: int
     service: str
     address: str
--- a/src/peridotpost/model/mesh.py
+++ b/src/peridotpost/model/mesh.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Share:
+class WeightedService:
     """A service of a traffic split and its share of the requests."""
 
     service: str
@@ -36,7 +36,7 @@
     objective_s: float
     rank: int
     max_attempts: int
-    shares: tuple[Share, ...]
+    shares: tuple[WeightedService, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/peridotpost/model/release.py
+++ b/src/peridotpost/model/release.py
@@ -60,10 +60,10 @@
     number: int
     stage: Stage
     share: float
-    focus: str
+    canary_host: str
     elapsed_s: float
     coordinator: str
-    banned: tuple[str, ...] = ()
+    rejected_versions: tuple[str, ...] = ()
 
     def supersedes(self, known: 'ReleaseState | None') -> bool:
         """Whether this state replaces the `known` one.
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RouteRuns:
+class RouteRunCounts:
     """Counts of a route's runs on one target since an order.
 
     :param failed: runs that ended with a failure of the target itself.
@@ -101,7 +101,7 @@
 
     runs: int = 0
     failed: int = 0
-    by_time: dict[int, int] = dataclasses.field(default_factory=dict)
+    by_run_time: dict[int, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(slots=True)
@@ -115,4 +115,4 @@
     host: str
     version: str
     drained: bool
-    by_route: dict[str, RouteRuns]
+    by_route: dict[str, RouteRunCounts]
--- a/src/peridotpost/model/routing.py
+++ b/src/peridotpost/model/routing.py
@@ -61,14 +61,15 @@
     """
     live = [member for member in fleet if member.live]
     routes = {
-        name: route_over(spec, live) for name, spec in version.services.items()
+        name: build_route(spec, live)
+        for name, spec in version.services.items()
     }
     table = RoutingTable(version.revision, routes)
     check_no_dangling(table, version, {member.host for member in live})
     return table
 
 
-def route_over(
+def build_route(
     spec: config.ServiceSpec, live: Iterable[members.MemberRecord]
 ) -> Route:
     """Return the route to the targets of `live` that accept calls."""
--- a/src/peridotpost/platform/announcements.py
+++ b/src/peridotpost/platform/announcements.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from peridotpost.mesh import adapter
 from peridotpost.model import instances
 from peridotpost.proxy import http1
@@ -83,7 +83,7 @@
         )
     return instances.Announcement(
         instance=instance,
-        born_ms=heartbeat.born,
+        started_ms=heartbeat.born,
         sequence=heartbeat.seq,
         service=heartbeat.service,
         address=host,
--- a/src/peridotpost/platform/assembly.py
+++ b/src/peridotpost/platform/assembly.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 import contextlib
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from peridotpost.mesh import adapter
 from peridotpost.platform import announcements
 from peridotpost.platform import configuration
--- a/src/peridotpost/platform/configuration.py
+++ b/src/peridotpost/platform/configuration.py
@@ -82,11 +82,11 @@
     route: _Route, services: dict[str, mesh.ServiceLimits]
 ) -> mesh.PathRoute:
     shares = tuple(
-        mesh.Share(share.service, share.weight)
+        mesh.WeightedService(share.service, share.weight)
         for share in route.traffic_split
     )
     if route.service is not None and not shares:
-        shares = (mesh.Share(route.service, 1.0),)
+        shares = (mesh.WeightedService(route.service, 1.0),)
     problem = ''
     if not shares or not any(share.weight > 0 for share in shares):
         problem = 'names no service'
--- a/src/peridotpost/platform/store.py
+++ b/src/peridotpost/platform/store.py
@@ -122,7 +122,7 @@
             'kv-txn', {'precondition': [], 'writes': [write], 'remove': []}
         )
         if response.status == 404:
-            raise errors.LeaseLapsed(
+            raise errors.LeaseExpired(
                 'lease has ended; take a new one', step='txn', peer=self.peer
             )
         if response.status != 200:
@@ -166,7 +166,7 @@
         if response.status == 412:
             return None
         if response.status == 404:
-            raise errors.LeaseLapsed(
+            raise errors.LeaseExpired(
                 'lease has ended; take a new one', step='txn', peer=self.peer
             )
         if response.status != 200:
@@ -320,4 +320,6 @@
     try:
         return msgspec.json.decode(raw, type=kind)
     except msgspec.MsgspecError as error:
-        raise errors.StoreGarbage(str(error), step='store.decode') from error
+        raise errors.StoreProtocolError(
+            str(error), step='store.decode'
+        ) from error
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -170,7 +170,7 @@
     def _inherited_repeat_weight(self, exchange: exchanges.Exchange) -> float:
         """Return how far a first dispatch counts as a repeat, 0 to 1."""
         if exchange.parent is not None:
-            return exchange.parent.repeat_weight
+            return exchange.parent.retry_weight
         # If calls identify their parent runs, a request without a parent comes
         # from an external caller.
         return 0.0 if self.parents_known else self.backends.repeat_share()
@@ -286,9 +286,9 @@
                 exchange, candidate, order, outcome
             ),
             route=exchange.route.name,
-            repeat=exchange.attempts.repeat,
-            inherited=self._inherited_repeat_weight(exchange),
-            body_later=may_refuse and len(message.body) > INLINE_BODY_BYTES,
+            retry_cause=exchange.attempts.repeat,
+            inherited_retry_weight=self._inherited_repeat_weight(exchange),
+            body_deferred=may_refuse and len(message.body) > INLINE_BODY_BYTES,
             may_move=lambda: self._may_reroute(exchange),
         )
         return order
@@ -349,7 +349,7 @@
                 self.no_budget_at[exchange.service] = now
             if outcome.retry_after_s:
                 exchange.retry_after_s = outcome.retry_after_s
-        elif isinstance(outcome, forwarding.Lost):
+        elif isinstance(outcome, forwarding.ResponseLost):
             candidate.note(True, now)
             self.log.lost(exchange, candidate.host, outcome.detail)
         else:
--- a/src/peridotpost/proxy/frameconversion.py
+++ b/src/peridotpost/proxy/frameconversion.py
@@ -23,15 +23,15 @@
         order.method,
         order.target,
         order.head,
-        b'' if order.body_later else order.body,
+        b'' if order.body_deferred else order.body,
         order.idempotent,
         order.last,
         order.rank,
         int((order.deadline - now) * MS_IN_S),
         int((order.objective - now) * MS_IN_S),
-        int(order.repeat),
-        round(order.inherited * 100),
-        order.body_later,
+        int(order.retry_cause),
+        round(order.inherited_retry_weight * 100),
+        order.body_deferred,
     )
 
 
@@ -56,8 +56,8 @@
         last=frame.last,
         done=done,
         route=frame.route,
-        repeat=forwarding.Repeat(frame.repeat),
-        inherited=frame.inherited / 100,
+        retry_cause=forwarding.RetryCause(frame.repeat),
+        inherited_retry_weight=frame.inherited / 100,
     )
 
 
@@ -142,10 +142,10 @@
         state.number,
         int(state.stage),
         round(state.share * SHARE_UNITS),
-        state.focus,
+        state.canary_host,
         int(state.elapsed_s * MS_IN_S),
         state.coordinator,
-        list(state.banned),
+        list(state.rejected_versions),
     )
 
 
@@ -183,7 +183,7 @@
         report.drained,
         [
             frames.RouteCounts(
-                route, counts.runs, counts.failed, counts.by_time
+                route, counts.runs, counts.failed, counts.by_run_time
             )
             for route, counts in report.by_route.items()
         ],
@@ -199,7 +199,7 @@
         frame.version,
         frame.drained,
         {
-            counts.route: release.RouteRuns(
+            counts.route: release.RouteRunCounts(
                 counts.runs, counts.failed, counts.by_time
             )
             for counts in frame.routes
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -113,10 +113,10 @@
             return
         is_new_instance = before is None or (
             before.instance,
-            before.born_ms,
+            before.started_ms,
         ) != (
             announcement.instance,
-            announcement.born_ms,
+            announcement.started_ms,
         )
         if is_new_instance:
             self.idle.close()
@@ -134,7 +134,7 @@
             instance=announcement.instance,
             service=announcement.service,
             to=announcement.state.value,
-            born=announcement.born_ms,
+            born=announcement.started_ms,
             sequence=announcement.sequence,
             slots=announcement.slots,
         )
@@ -221,7 +221,7 @@
         if connection is None:
             order.settle(forwarding.Refused(forwarding.Refusal.WITHDRAWN))
         else:
-            order.settle(forwarding.Lost('cancelled by its ingress'))
+            order.settle(forwarding.ResponseLost('cancelled by its ingress'))
 
     def close(self) -> None:
         for task in self.connecting.values():
@@ -349,8 +349,8 @@
             else:
                 order.settle(forwarding.Refused(forwarding.Refusal.TOO_LATE))
             return
-        self.budget.sent(order.repeat, order.inherited, now)
-        if order.repeat:
+        self.budget.sent(order.retry_cause, order.inherited_retry_weight, now)
+        if order.retry_cause:
             self.counts.add('requests.repeated')
         self.running[order] = connection
         self.running_by_attempt[order.attempt_id] = order
@@ -371,13 +371,13 @@
         """Return the share of repeats among current runs, 0 to 1."""
         if not self.running:
             return 0.0
-        weight = sum(order.repeat_weight for order in self.running)
+        weight = sum(order.retry_weight for order in self.running)
         return weight / len(self.running)
 
     def _has_budget(self, order: forwarding.Order, now: float) -> bool:
-        if not order.repeat:
+        if not order.retry_cause:
             return True
-        return self.budget.admits(order.repeat, self.target_count(), now)
+        return self.budget.admits(order.retry_cause, self.target_count(), now)
 
     def _refuse_repeat(self, order: forwarding.Order) -> None:
         self.counts.add('requests.no-retry-budget')
@@ -400,7 +400,7 @@
             verdict = self.queue.finish(order, now)
         else:
             verdict = self.queue.release(order, now)
-        if isinstance(outcome, forwarding.Lost):
+        if isinstance(outcome, forwarding.ResponseLost):
             self.reachability.answer_lost(order)
         if connection is None or not connection.aborted:
             self._record_outcome(outcome, now)
@@ -491,7 +491,7 @@
         self._abort(order)
         if started:
             self.failures.note(True, deadlines.now())
-            order.settle(forwarding.Lost('no answer by the deadline'))
+            order.settle(forwarding.ResponseLost('no answer by the deadline'))
         else:
             order.settle(forwarding.Refused(forwarding.Refusal.TOO_LATE))
 
--- a/src/peridotpost/proxy/peers.py
+++ b/src/peridotpost/proxy/peers.py
@@ -196,7 +196,7 @@
         elif kind is frames.LostFrame:
             lost = cast(frames.LostFrame, frame)
             self._settle(
-                lost.number, forwarding.Lost(lost.detail, lost.crashed)
+                lost.number, forwarding.ResponseLost(lost.detail, lost.crashed)
             )
         elif kind is frames.BodyWanted:
             self._body_wanted(cast(frames.BodyWanted, frame).number)
@@ -333,7 +333,7 @@
             if order.idempotent and order.may_move():
                 del self.sent[number]
                 self.send(frames.Cancel(number))
-                order.settle(forwarding.Lost(f'{self.host} is silent'))
+                order.settle(forwarding.ResponseLost(f'{self.host} is silent'))
 
     @property
     def suspect(self) -> bool:
@@ -357,7 +357,9 @@
         sent = list(self.sent.values())
         self.sent.clear()
         for order in sent:
-            order.settle(forwarding.Lost(f'stream to {self.host} lost'))
+            order.settle(
+                forwarding.ResponseLost(f'stream to {self.host} lost')
+            )
 
 
 async def dial(
--- a/src/peridotpost/proxy/upstream.py
+++ b/src/peridotpost/proxy/upstream.py
@@ -96,7 +96,7 @@
             self.reusable = False
             if self.outcome is None:
                 detail = f'answer is not HTTP: {type(error).__name__}'
-                self.outcome = forwarding.Lost(detail)
+                self.outcome = forwarding.ResponseLost(detail)
         if self.outcome is not None:
             self._finish()
 
@@ -146,7 +146,7 @@
         self.left(self, order is not None)
         if order is not None:
             detail = 'target reset' if exc else 'target closed'
-            order.settle(forwarding.Lost(f'{detail} the connection'))
+            order.settle(forwarding.ResponseLost(f'{detail} the connection'))
 
     def abort(self) -> None:
         """Abort the current request; the target may stop running it."""
@@ -226,9 +226,11 @@
             reason = forwarding.Refusal.WRONG_SERVICE
         return forwarding.Refused(reason, arrived=True)
     if status < 300 and not message.signed:
-        return forwarding.Lost('answer without the mark of the target')
+        return forwarding.ResponseLost('answer without the mark of the target')
     if message.content_encoded:
-        return forwarding.Lost('answer with an unexpected content encoding')
+        return forwarding.ResponseLost(
+            'answer with an unexpected content encoding'
+        )
     return forwarding.TargetAnswer(
         status, message.reason, bytes(message.head), message.body
     )
--- a/src/peridotpost/reports/story.py
+++ b/src/peridotpost/reports/explanation.py
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Story:
+class Explanation:
     """What the logs contain about a request.
 
     :param steps: log lines with the request's id, sorted by time.
@@ -79,18 +79,18 @@
     around: list[loglines.LogLine]
 
 
-def tell(logs: loglines.Logs, request: str) -> Story:
+def explain_request(logs: loglines.Logs, request: str) -> Explanation:
     """Collect the log lines about `request` and derive its cause."""
     steps = [line for line in logs.lines if line.request == request]
     if not steps:
-        return Story(request, [], _not_found_cause(logs), [])
+        return Explanation(request, [], _not_found_cause(logs), [])
     outcomes = [step for step in steps if step.event in OUTCOME_EVENTS]
     if not outcomes:
         cause = (
             'its outcome is not in the logs: the line was left out under '
             'load, or its host stopped before'
         )
-        return Story(
+        return Explanation(
             request, steps, cause, _state_changes(logs, steps, steps[-1])
         )
     outcome = outcomes[-1]
@@ -98,7 +98,9 @@
         f'{_cause_of(outcome)} after {outcome.elapsed_ms} ms; '
         f'{_attempt_summary(outcome, steps)}'
     )
-    return Story(request, steps, cause, _state_changes(logs, steps, outcome))
+    return Explanation(
+        request, steps, cause, _state_changes(logs, steps, outcome)
+    )
 
 
 def _cause_of(outcome: loglines.LogLine) -> str:
--- a/src/peridotpost/standins/mesh.py
+++ b/src/peridotpost/standins/mesh.py
@@ -13,7 +13,7 @@
 from typing import Any
 from typing import IO
 
-from peridotpost.border import text as text_border
+from peridotpost.border import mesh_document as text_border
 
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
@@ -134,7 +134,7 @@
 
     :param settings: merged into the settings of each daemon.
     """
-    mesh = text_border.read_text(text, 'planned text')
+    mesh = text_border.parse_mesh(text, 'planned text')
     ports = free_ports(randomness)
     platform_port = next(ports)
     names = itertools.cycle(services or tuple(mesh.services))
--- a/src/peridotpost/store/etcd.py
+++ b/src/peridotpost/store/etcd.py
@@ -139,7 +139,7 @@
             'lease/revoke', {'ID': str(lease)}, lambda body: None
         )
         if isinstance(revoked, result.Err) and isinstance(
-            revoked.err_value, errors.LeaseLapsed
+            revoked.err_value, errors.LeaseExpired
         ):
             return result.Ok(None)
         return revoked
@@ -329,7 +329,7 @@
         if status == TOO_MANY_REQUESTS:
             kind, hint = errors.StoreOverloaded, 'retry later'
         elif status == NOT_FOUND:
-            kind, hint = errors.LeaseLapsed, 'request a new lease'
+            kind, hint = errors.LeaseExpired, 'request a new lease'
         return kind(f'{detail}; {hint}', step=f'store.{step}', peer=endpoint)
 
     def _unavailable_error(
@@ -345,10 +345,10 @@
 
     def _garbage_error(
         self, step: str, endpoint: str, detail: str
-    ) -> errors.StoreGarbage:
+    ) -> errors.StoreProtocolError:
         self.counts.add('store.garbage')
         self._switch_endpoint(endpoint)
-        return errors.StoreGarbage(
+        return errors.StoreProtocolError(
             f'invalid response: {detail[:200]}',
             step=f'store.{step}',
             peer=endpoint,
--- a/src/peridotpost/store/versions.py
+++ b/src/peridotpost/store/versions.py
@@ -17,7 +17,7 @@
 import result
 
 from peridotpost.border import document
-from peridotpost.border import text as text_border
+from peridotpost.border import mesh_document as text_border
 from peridotpost.model import config
 from peridotpost.model import errors
 from peridotpost.store import store
@@ -138,7 +138,7 @@
         )
     except (ValueError, KeyError, TypeError, zlib.error) as error:
         return result.Err(
-            errors.StoreGarbage(
+            errors.StoreProtocolError(
                 f'value is not a valid version: {error}; accept a valid one',
                 step='version.read',
                 peer=kv.key,
@@ -155,10 +155,10 @@
     not reach any daemon.
     """
     try:
-        mesh = text_border.read_text(version.text, 'accepted text')
+        mesh = text_border.parse_mesh(version.text, 'accepted text')
     except document.DocumentError as error:
         return result.Err(
-            errors.StoreGarbage(
+            errors.StoreProtocolError(
                 f'stored text is invalid: {error}',
                 step='version.compile',
                 peer=f'revision {version.revision}',
--- a/testing/callpath.py
+++ b/testing/callpath.py
@@ -12,7 +12,7 @@
 import dataclasses
 import random
 
-from peridotpost.border import text
+from peridotpost.border import mesh_document
 from peridotpost.calls import connections
 from peridotpost.calls import guard as guards
 from peridotpost.calls import ingress as ingresses
@@ -118,8 +118,10 @@
         replica = replicas.Replica(
             host, config.EVERYTHING, clock, events, counts
         )
-        mesh = text.read_text(mesh_text, 'test')
-        replica.offer_full_version(text.to_config(mesh, 1, 'w'), 'test')
+        mesh = mesh_document.parse_mesh(mesh_text, 'test')
+        replica.offer_full_version(
+            mesh_document.to_config(mesh, 1, 'w'), 'test'
+        )
         myself = own.LocalMember(
             members.MemberRecord(
                 host,
--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -99,7 +99,7 @@
         except keyvalue.ValueTooLarge:
             return result.Err(self.error(errors.StoreRefused))
         except keyvalue.NoSuchLease:
-            return result.Err(self.error(errors.LeaseLapsed))
+            return result.Err(self.error(errors.LeaseExpired))
         for put in puts:
             self.state.put(put.key.encode(), put.value, put.lease, revision)
         return self.after('swap').map(lambda _: store.Swapped(revision))
--- a/testing/proxies.py
+++ b/testing/proxies.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from peridotpost.kernel import jsonlog
 from peridotpost.mesh import daemon
 from peridotpost.platform import assembly
--- a/testing/releaseload.py
+++ b/testing/releaseload.py
@@ -36,7 +36,7 @@
 
 
 def run(
-    into: release.RouteRuns,
+    into: release.RouteRunCounts,
     behaviour: Behaviour,
     at_s: float,
     busy: bool,
@@ -53,5 +53,5 @@
     into.runs += 1
     into.failed += failed
     bucket = verdict.bucket_of(work_s)
-    into.by_time[bucket] = into.by_time.get(bucket, 0) + 1
+    into.by_run_time[bucket] = into.by_run_time.get(bucket, 0) + 1
     return failed or slowed
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -7,7 +7,7 @@
 
 ANSWER = forwarding.TargetAnswer(200, b'OK', b'', b'')
 FAILED = forwarding.TargetAnswer(500, b'', b'', b'')
-LOST = forwarding.Lost('reset')
+LOST = forwarding.ResponseLost('reset')
 FULL = forwarding.Refused(forwarding.Refusal.FULL)
 TOO_LATE = forwarding.Refused(forwarding.Refusal.TOO_LATE)
 SHED = forwarding.Refused(forwarding.Refusal.SHED, arrived=True)
@@ -87,16 +87,18 @@
 @pytest.mark.parametrize(
     ('outcomes', 'repeat'),
     [
-        pytest.param([FULL, FULL], forwarding.Repeat.NONE, id='full'),
-        pytest.param([SHED], forwarding.Repeat.AGAIN, id='shed'),
-        pytest.param([LOST, FULL], forwarding.Repeat.AGAIN, id='lost'),
+        pytest.param([FULL, FULL], forwarding.RetryCause.NONE, id='full'),
+        pytest.param([SHED], forwarding.RetryCause.REFUSED_OR_LOST, id='shed'),
         pytest.param(
-            [FAILED, SHED], forwarding.Repeat.AFTER_FAILURE, id='failed'
+            [LOST, FULL], forwarding.RetryCause.REFUSED_OR_LOST, id='lost'
+        ),
+        pytest.param(
+            [FAILED, SHED], forwarding.RetryCause.AFTER_FAILURE, id='failed'
         ),
     ],
 )
 def test_dispatch_after_an_arrival_is_a_retry(
-    outcomes: list[forwarding.Outcome], repeat: forwarding.Repeat
+    outcomes: list[forwarding.Outcome], repeat: forwarding.RetryCause
 ) -> None:
     request = attempts.Attempts(True, 2, deadline=1.0)
     for outcome in outcomes:
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -93,7 +93,7 @@
 ) -> None:
     pipe, child, parent = connected_nodes(interest)
     target = version_rules.Holding(
-        parent.replica.version.scoped(interest), interest
+        parent.replica.version.narrow(interest), interest
     )
     full_update = version_rules.make_update(config.NO_CONFIG, target)
     assert wire.update_to_wire(full_update).ByteSize() <= whole_bytes
@@ -103,7 +103,7 @@
         cost = exchange_all(pipe)
         assert cost.messages == 2
         assert cost.size <= delta_bytes
-    assert child.replica.version == parent.replica.version.scoped(interest)
+    assert child.replica.version == parent.replica.version.narrow(interest)
 
 
 def test_member_change_sends_one_record() -> None:
--- a/testing/test_budget_and_split.py
+++ b/testing/test_budget_and_split.py
@@ -12,9 +12,9 @@
 RATIO = 0.2
 EXTRA = 60.0
 WINDOW_S = 10.0
-AGAIN = forwarding.Repeat.AGAIN
-AFTER_FAILURE = forwarding.Repeat.AFTER_FAILURE
-NONE = forwarding.Repeat.NONE
+AGAIN = forwarding.RetryCause.REFUSED_OR_LOST
+AFTER_FAILURE = forwarding.RetryCause.AFTER_FAILURE
+NONE = forwarding.RetryCause.NONE
 
 
 def guards(count: int, extra: float = EXTRA) -> list[budget.RetryBudget]:
@@ -123,7 +123,8 @@
 )
 def test_shares_hold_over_any_sequence(weights: list[float]) -> None:
     shares = tuple(
-        mesh.Share(f's{index}', weight) for index, weight in enumerate(weights)
+        mesh.WeightedService(f's{index}', weight)
+        for index, weight in enumerate(weights)
     )
     splitter = split.Splitter()
     picked = [splitter.pick('r', shares) for _ in range(1000)]
@@ -136,8 +137,8 @@
 
 def test_new_weights_reset_the_state() -> None:
     splitter = split.Splitter()
-    old = (mesh.Share('a', 1), mesh.Share('b', 1))
-    new = (mesh.Share('a', 1), mesh.Share('b', 3))
+    old = (mesh.WeightedService('a', 1), mesh.WeightedService('b', 1))
+    new = (mesh.WeightedService('a', 1), mesh.WeightedService('b', 3))
     splitter.pick('r', old)
     picked = [splitter.pick('r', new) for _ in range(100)]
     assert picked.count('b') == 75
--- a/testing/test_metrics.py
+++ b/testing/test_metrics.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from testing import proxies
 
 
--- a/testing/test_peer_streams.py
+++ b/testing/test_peer_streams.py
@@ -65,11 +65,11 @@
         stream.check_liveness(now + peers.PING_AFTER_S * 1.1)
         assert stream.suspect and not outcomes
         stream.check_liveness(stream.pinged_at + peers.REROUTE_AFTER_S * 1.1)
-        assert isinstance(outcomes.pop('read'), forwarding.Lost)
+        assert isinstance(outcomes.pop('read'), forwarding.ResponseLost)
         assert not outcomes
         stream.check_liveness(stream.pinged_at + peers.CLOSE_AFTER_S * 1.1)
         await conditions.until(lambda: 'write' in outcomes)
-        assert isinstance(outcomes['write'], forwarding.Lost)
+        assert isinstance(outcomes['write'], forwarding.ResponseLost)
         await conditions.until(
             lambda: first.proxy.directory.peers['b'].candidate.ready
         )
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from peridotpost.model import errors
 from peridotpost.model import instances
 from peridotpost.platform import store
@@ -87,7 +87,7 @@
 
 async def test_a_write_under_a_lapsed_lease_says_so() -> None:
     async with opened() as (client, _kv):
-        with pytest.raises(errors.LeaseLapsed):
+        with pytest.raises(errors.LeaseExpired):
             await client.register(RECORD, 77)
 
 
--- a/testing/test_proxy_callers.py
+++ b/testing/test_proxy_callers.py
@@ -190,7 +190,7 @@
             await conditions.until(lambda: len(guard.running) == 2)
             guard.running_by_attempt[
                 b'repeats'
-            ].repeat = forwarding.Repeat.AGAIN
+            ].retry_cause = forwarding.RetryCause.REFUSED_OR_LOST
             # From the first call with a parent id on, the ingress knows that
             # calls carry them.
             await host.ask('/read/ok', attempt='first.0')
@@ -198,7 +198,7 @@
             submit = guard.submit
 
             def note(order: forwarding.Order) -> None:
-                seen.append(order.inherited)
+                seen.append(order.inherited_retry_weight)
                 submit(order)
 
             guard.submit = note  # type: ignore[method-assign]
--- a/testing/test_proxy_settings.py
+++ b/testing/test_proxy_settings.py
@@ -11,7 +11,7 @@
 from click import testing
 import pytest
 
-from peridotpost.border import proxy as border
+from peridotpost.border import proxy_settings as border
 from peridotpost.cli import proxy_command
 
 VALID: dict[str, Any] = {
@@ -63,7 +63,7 @@
     change: dict[str, Any], field: str, tmp_path: pathlib.Path
 ) -> None:
     path = write_settings(tmp_path, json.dumps(VALID | change))
-    with pytest.raises(border.BadSettings) as caught:
+    with pytest.raises(border.InvalidSettings) as caught:
         border.load(path)
     assert field in str(caught.value)
     assert str(path) in str(caught.value)
--- a/testing/test_releasecoordinator.py
+++ b/testing/test_releasecoordinator.py
@@ -77,8 +77,8 @@
         self, order: release.ReleaseOrder
     ) -> releasecoordinator.ServiceTargets:
         tried = any(stage.is_final for stage in self.feed.written)
-        old = release.RouteRuns(1000, 10, {10: 1000})
-        new = release.RouteRuns(200, 150 if tried else 0, {10: 200})
+        old = release.RouteRunCounts(1000, 10, {10: 1000})
+        new = release.RouteRunCounts(200, 150 if tried else 0, {10: 200})
         reports = [
             release.TargetReport('a', 'v1', True, {'r': old}),
             release.TargetReport('b', 'v2', False, {'r': new}),
--- a/testing/test_releaseplan.py
+++ b/testing/test_releaseplan.py
@@ -11,8 +11,8 @@
 TICK_S = 0.1
 
 
-def runs(count: int, failed: int = 0) -> dict[str, release.RouteRuns]:
-    return {'r': release.RouteRuns(count, failed, {10: count})}
+def runs(count: int, failed: int = 0) -> dict[str, release.RouteRunCounts]:
+    return {'r': release.RouteRunCounts(count, failed, {10: count})}
 
 
 def view(
--- a/testing/test_replicas_machine.py
+++ b/testing/test_replicas_machine.py
@@ -210,7 +210,7 @@
             held = node.replica.holding
             assert held.version.revision in self.accepted
             whole = self.accepted[held.version.revision]
-            assert held.version == whole.scoped(held.scope)
+            assert held.version == whole.narrow(held.scope)
 
     @stateful.invariant()
     def no_dangling_routes(self) -> None:
@@ -266,7 +266,7 @@
     held = fleets.version(3, {'a': ['b'], 'b': []})
     one = fleets.hosting('a')
     other = fleets.hosting('a', 'b')
-    assert held.scoped(one) == held.scoped(other)
+    assert held.narrow(one) == held.narrow(other)
     assert versions.scope_digest(held, one) != versions.scope_digest(
         held, other
     )
--- a/testing/test_reports.py
+++ b/testing/test_reports.py
@@ -10,7 +10,7 @@
 
 from peridotpost.border import loglines
 from peridotpost.cli import peridotctl
-from peridotpost.reports import story
+from peridotpost.reports import explanation
 from testing import proxies
 
 
@@ -141,7 +141,7 @@
 )
 def test_each_outcome_is_described(event: str, detail: str, text: str) -> None:
     line = loglines.LogLine(5.0, 'a', event, request='r', detail=detail)
-    explained = story.tell(loglines.Logs([line], 0), 'r')
+    explained = explanation.explain_request(loglines.Logs([line], 0), 'r')
     assert text in explained.cause
 
 
@@ -160,5 +160,5 @@
         outcome,
         state_change(99.5, 'd'),
     ]
-    explained = story.tell(loglines.Logs(lines, 0), 'r')
+    explained = explanation.explain_request(loglines.Logs(lines, 0), 'r')
     assert explained.around == [of_peer, near]
--- a/testing/test_returning.py
+++ b/testing/test_returning.py
@@ -12,7 +12,10 @@
 from testing import conditions
 from testing import proxies
 
-SHARES = (mesh.Share('stable', 75), mesh.Share('trial', 25))
+SHARES = (
+    mesh.WeightedService('stable', 75),
+    mesh.WeightedService('trial', 25),
+)
 
 
 def make_attempt(until: float = 2.0) -> refusedrequests.FirstAttempt:
--- a/testing/test_store_contract.py
+++ b/testing/test_store_contract.py
@@ -161,7 +161,7 @@
         outcome = await subject.store.swap('a', 0, [store.Put('a', b'1'), bad])
         assert isinstance(outcome.unwrap_err(), errors.StoreRefused)
         assert await read_value(subject, 'a') is None
-    assert isinstance(outcome.unwrap_err(), errors.LeaseLapsed)
+    assert isinstance(outcome.unwrap_err(), errors.LeaseExpired)
 
 
 async def value_of_one_mebibyte_is_stored(subject: StoreUnderTest) -> None:
@@ -402,7 +402,7 @@
 @pytest.mark.parametrize(
     ('raw', 'kind'),
     [
-        *((raw, errors.StoreGarbage) for raw in GARBAGE.values()),
+        *((raw, errors.StoreProtocolError) for raw in GARBAGE.values()),
         *((raw, errors.StoreUnavailable) for raw in UNAVAILABLE.values()),
     ],
     ids=[*GARBAGE, *UNAVAILABLE],
@@ -447,7 +447,7 @@
             [address], TIMEOUT_S, 1.0, counters.Counters()
         ) as opened:
             outcome = await opened.swap('a', 0, [store.Put('a', b'')])
-    assert isinstance(outcome.unwrap_err(), errors.StoreGarbage)
+    assert isinstance(outcome.unwrap_err(), errors.StoreProtocolError)
 
 
 CREATED = b'{"result": {"header": {"revision": "9"}, "created": true}}\n'
@@ -469,19 +469,19 @@
         [],
         errors.StoreUnavailable,
     ),
-    'line-not-json': (CREATED + b'<p>\n', True, [], errors.StoreGarbage),
-    'line-without-result': (b'{}\n', True, [], errors.StoreGarbage),
+    'line-not-json': (CREATED + b'<p>\n', True, [], errors.StoreProtocolError),
+    'line-without-result': (b'{}\n', True, [], errors.StoreProtocolError),
     'event-about-another': (
         CREATED + EVENT.replace(b'YQ==', b'eg==') + b'\n',
         True,
         [],
-        errors.StoreGarbage,
+        errors.StoreProtocolError,
     ),
     'events-no-list': (
         b'{"result": {"events": {"kv": 1}}}\n',
         True,
         [],
-        errors.StoreGarbage,
+        errors.StoreProtocolError,
     ),
     'cancelled': (
         b'{"result": {"canceled": true}}\n',
--- a/testing/test_tables.py
+++ b/testing/test_tables.py
@@ -2,7 +2,7 @@
 
 import random
 
-from peridotpost.border import text
+from peridotpost.border import mesh_document
 from peridotpost.decisions import fleet as fleets
 from peridotpost.decisions import tables
 from peridotpost.model import config
@@ -20,8 +20,8 @@
         f'  {name}: {{deadline_ms: {randomness.randrange(1, 3)}}}\n'
         for name in randomness.sample(SERVICES, 2)
     ]
-    mesh = text.read_text(TEXT + ''.join(lines), 'test')
-    return text.to_config(mesh, revision, 'w')
+    mesh = mesh_document.parse_mesh(TEXT + ''.join(lines), 'test')
+    return mesh_document.to_config(mesh, revision, 'w')
 
 
 def record_of(step: int, randomness: random.Random) -> members.MemberRecord:
--- a/testing/test_text.py
+++ b/testing/test_text.py
@@ -5,7 +5,7 @@
 import pytest
 
 from peridotpost.border import document
-from peridotpost.border import text
+from peridotpost.border import mesh_document
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / 'examples'
 VALID = """\
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize('name', ['rautasilta.yaml', 'ofaolain.yaml'])
 def test_example_is_accepted(name: str) -> None:
-    mesh = text.read_text((EXAMPLES / name).read_text(), name)
+    mesh = mesh_document.parse_mesh((EXAMPLES / name).read_text(), name)
     assert len(mesh.availability_zones) == 4
 
 
@@ -82,7 +82,7 @@
             id='alias',
         ),
         pytest.param(
-            VALID + '#' * text.MAX_TEXT_BYTES, 0, '', 'over the limit',
+            VALID + '#' * mesh_document.MAX_TEXT_BYTES, 0, '', 'over the limit',
             id='too-large',
         ),
     ],
@@ -91,7 +91,7 @@
     invalid: str, line: int, path: str, message: str
 ) -> None:
     with pytest.raises(document.DocumentError) as caught:
-        text.read_text(invalid, 'mesh.yaml')
+        mesh_document.parse_mesh(invalid, 'mesh.yaml')
     problem = caught.value.problems[0]
     assert (problem.line, problem.path) == (line, path)
     assert message in problem.message
@@ -106,5 +106,5 @@
         needs = f'[l{level + 1}-x, l{level + 1}-y]' if level < 59 else '[]'
         for side in 'xy':
             lines.append(f'  l{level}-{side}: {{depends_on: {needs}}}')
-    mesh = text.read_text('\n'.join(lines), 'deep.yaml')
+    mesh = mesh_document.parse_mesh('\n'.join(lines), 'deep.yaml')
     assert len(mesh.services) == 120
--- a/testing/test_verdict.py
+++ b/testing/test_verdict.py
@@ -20,8 +20,8 @@
     """Return the bad runs until detection; None if it is not detected."""
     randomness = random.Random(seed)
     judge = verdict.CanaryJudge()
-    old = {route: release.RouteRuns() for route in routes}
-    new = {route: release.RouteRuns() for route in routes}
+    old = {route: release.RouteRunCounts() for route in routes}
+    new = {route: release.RouteRunCounts() for route in routes}
     good = releaseload.Behaviour()
     bad = 0
     for tick in range(ticks):
@@ -103,7 +103,7 @@
     randomness = random.Random(7)
     behaviour = releaseload.Behaviour(failing=0.33)
     judge = verdict.CanaryJudge()
-    old, new = release.RouteRuns(), release.RouteRuns()
+    old, new = release.RouteRunCounts(), release.RouteRunCounts()
     for tick in range(120):
         for _ in range(OLD_RATE):
             releaseload.run(old, behaviour, 0.0, True, randomness)
@@ -116,7 +116,7 @@
     """Runs of 2 ms take 8 ms on a new target that gets all requests."""
     randomness = random.Random(3)
     judge = verdict.CanaryJudge()
-    old, new = release.RouteRuns(), release.RouteRuns()
+    old, new = release.RouteRunCounts(), release.RouteRunCounts()
     usual = releaseload.Behaviour(work_s=0.002)
     busy = releaseload.Behaviour(work_s=0.004)
     for tick in range(120):
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -25,7 +25,7 @@
 def cut(
     version: config.ConfigVersion, scope: config.Interest
 ) -> versions.Holding:
-    return versions.Holding(version.scoped(scope), scope)
+    return versions.Holding(version.narrow(scope), scope)
 
 
 def whole(
@@ -39,7 +39,7 @@
     version: config.ConfigVersion,
     scope: config.Interest = A,
 ) -> versions.ConfigUpdate:
-    return versions.make_update(base.scoped(scope), cut(version, scope))
+    return versions.make_update(base.narrow(scope), cut(version, scope))
 
 
 @pytest.mark.parametrize(
--- a/testing/zones.py
+++ b/testing/zones.py
@@ -12,8 +12,8 @@
 
 from grpc import aio
 
+from peridotpost.border import mesh_document as text_border
 from peridotpost.border import settings as settings_border
-from peridotpost.border import text as text_border
 from peridotpost.daemon import assembly
 from peridotpost.daemon import control
 from peridotpost.distribution import dialling
@@ -48,7 +48,7 @@
 
     def __init__(self, text: str, stack: contextlib.AsyncExitStack) -> None:
         self.text = text
-        self.mesh = text_border.read_text(text, 'text')
+        self.mesh = text_border.parse_mesh(text, 'text')
         self.stack = stack
         self.platforms: dict[str, platform_standin.Platform] = {}
         self.endpoints: dict[str, str] = {}
