--- a/bench/meshes.py
+++ b/bench/meshes.py
@@ -85,7 +85,7 @@
 
     async def accept(self, document: str) -> int:
         """Accept a mesh document and return its version."""
-        proposed = operator.propose(document, 'bench', '', self.head, '')
+        proposed = operator.make_version(document, 'bench', '', self.head, '')
         result = await versions.accept(
             self.store, self.plan.mesh, proposed, asyncio.sleep
         )
--- a/bench/unseen_fleets.py
+++ b/bench/unseen_fleets.py
@@ -128,8 +128,8 @@
         credit_bound = bound.credit_share(bound.intervals(scenario))
         columns = []
         for name in POLICIES:
-            with policies.replaced(POLICIES[name]):
-                result = simulation.play(scenario, 1, name)
+            with policies.override_constants(POLICIES[name]):
+                result = simulation.simulate(scenario, 1, name)
             columns.append(f'{result.credit_share:>11.3f}')
         print(
             f'{fleet.zones:>5} {fleet.slots:>5} {fleet.depth:>5} '
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -59,7 +59,7 @@
     async def measure_document_change(self, document: str) -> list[float]:
         """Accept a document; return the delay at each watcher."""
         accepted_at = time.time()
-        proposed = operator.propose(document, 'bench', '', self.head, '')
+        proposed = operator.make_version(document, 'bench', '', self.head, '')
         result = await versions.accept(
             self.store, self.mesh, proposed, asyncio.sleep
         )
--- a/demo/drive.py
+++ b/demo/drive.py
@@ -64,7 +64,7 @@
     started_at = time.monotonic()
     addresses = tuple(host.admin for host in plan.hosts)
     while time.monotonic() - started_at < timeout_s:
-        answers = await operator.ask_all(
+        answers = await operator.fetch_pages(
             addresses, '/v1/status', models.DaemonStatus
         )
         pages = [answer.page for answer in answers]
@@ -90,7 +90,7 @@
     deadline = time.monotonic() + READY_TIMEOUT_S
     addresses = tuple(host.admin for host in plan.hosts)
     while time.monotonic() < deadline:
-        answers = await operator.ask_all(
+        answers = await operator.fetch_pages(
             addresses, '/v1/status', models.DaemonStatus
         )
         if {count_targets(answer, public) for answer in answers} == {targets}:
@@ -99,7 +99,7 @@
     return False
 
 
-def count_targets(answer: operator.Asked, services: list[str]) -> int:
+def count_targets(answer: operator.DaemonReply, services: list[str]) -> int:
     """Count targets of `services` in a daemon's table; -1 without answer."""
     if not isinstance(answer.page, models.DaemonStatus):
         return -1
@@ -137,7 +137,7 @@
 
 def public_services(document: str) -> list[str]:
     """Return the services that external callers may call."""
-    spec = operator.mesh_of(document, 'text')
+    spec = operator.parse_mesh(document, 'text')
     return [
         name for name, service in spec.services.items() if not service.internal
     ]
@@ -146,7 +146,7 @@
 async def send_calls(plan: mesh.MeshPlan, document: str) -> list[CallResult]:
     """Send reads and writes to the daemons, round robin."""
     client = httpclient.AsyncHTTPClient(force_instance=True, max_clients=20)
-    spec = operator.mesh_of(document, 'text')
+    spec = operator.parse_mesh(document, 'text')
     services = public_services(document)
     randomness = random.Random()
     pending_calls = []
@@ -184,7 +184,7 @@
         raise_error=False,
     )
     client.close()
-    answers = await operator.ask_all(
+    answers = await operator.fetch_pages(
         tuple(host.admin for host in plan.hosts),
         f'/v1/timeline?request_id={request_id}',
         models.TimelineResponse,
@@ -232,7 +232,7 @@
 
 
 async def fetch_control_bytes(plan: mesh.MeshPlan) -> dict[str, int]:
-    answers = await operator.ask_all(
+    answers = await operator.fetch_pages(
         tuple(host.admin for host in plan.hosts),
         '/v1/counters',
         models.CountersResponse,
--- a/src/peridotpost/cli/experiment.py
+++ b/src/peridotpost/cli/experiment.py
@@ -169,8 +169,8 @@
             f'no policy {name!r}; the scenario has {known}',
             step='experiment.policy',
         )
-    with policies.replaced(constants or {}):
-        return simulation.play(scenario, seed, name)
+    with policies.override_constants(constants or {}):
+        return simulation.simulate(scenario, seed, name)
 
 
 def _format_results(run_results: list[results.Result]) -> str:
--- a/src/peridotpost/cli/operator.py
+++ b/src/peridotpost/cli/operator.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class DaemonReply:
     """A daemon's admin page, or the error of the request."""
 
     address: str
@@ -63,7 +63,7 @@
     :raises document.DocumentError: it is invalid, or of another mesh.
     """
     text = read_file(file)
-    text_mesh = mesh_of(text, str(file)).mesh
+    text_mesh = parse_mesh(text, str(file)).mesh
     if text_mesh != mesh:
         message = f'is {text_mesh!r}, not {mesh!r}; give its mesh with --mesh'
         problem = document.Problem(str(file), 'mesh', 0, message)
@@ -110,7 +110,7 @@
     )
 
 
-def propose(
+def make_version(
     text: str, author: str, note: str, base_revision: int, write_id: str
 ) -> versions.AcceptedVersion:
     """Create a version to be accepted; generate a write ID if it is empty."""
@@ -126,14 +126,14 @@
     )
 
 
-def mesh_of(text: str, file: str) -> text_border.MeshDocument:
+def parse_mesh(text: str, file: str) -> text_border.MeshDocument:
     """Parse and validate a text; raises what ``text.read_text`` does."""
     return text_border.parse_mesh(text, file)
 
 
-async def ask_all(
+async def fetch_pages(
     addresses: tuple[str, ...], path: str, model: type[pydantic.BaseModel]
-) -> list[Asked]:
+) -> list[DaemonReply]:
     """Fetch a page from each daemon, with limited concurrency."""
     client = httpclient.AsyncHTTPClient(
         force_instance=True, max_clients=MAX_CONCURRENT_REQUESTS
@@ -154,11 +154,11 @@
     address: str,
     path: str,
     model: type[pydantic.BaseModel],
-) -> Asked:
+) -> DaemonReply:
     try:
         answer = await client.fetch(
             f'http://{address}{path}', request_timeout=PAGE_TIMEOUT_S
         )
-        return Asked(address, model.model_validate_json(answer.body))
+        return DaemonReply(address, model.model_validate_json(answer.body))
     except (httpclient.HTTPError, OSError, ValueError) as error:
-        return Asked(address, None, str(error))
+        return DaemonReply(address, None, str(error))
--- a/src/peridotpost/cli/subcommands/acceptance.py
+++ b/src/peridotpost/cli/subcommands/acceptance.py
@@ -50,7 +50,7 @@
             base_revision = await _find_base(platform, mesh, base, as_json)
             if isinstance(base_revision, result.Err):
                 return output.print_error(as_json, base_revision.err_value)
-            proposed = operator.propose(
+            proposed = operator.make_version(
                 text, author, note, base_revision.ok_value, write_id
             )
             outcome = await versions.accept(platform, mesh, proposed, sleep)
@@ -94,11 +94,11 @@
             if isinstance(found, result.Err):
                 return output.print_error(as_json, found.err_value)
             text = found.ok_value.text
-            operator.mesh_of(text, f'version {revision}')
+            operator.parse_mesh(text, f'version {revision}')
             base_revision = await _find_base(platform, mesh, base, as_json)
             if isinstance(base_revision, result.Err):
                 return output.print_error(as_json, base_revision.err_value)
-            proposed = operator.propose(
+            proposed = operator.make_version(
                 text,
                 author,
                 note or f'rollback to version {revision}',
--- a/src/peridotpost/cli/subcommands/fleet.py
+++ b/src/peridotpost/cli/subcommands/fleet.py
@@ -38,7 +38,7 @@
     async def body() -> int:
         deadline = time.monotonic() + within_s
         while True:
-            replies = await operator.ask_all(
+            replies = await operator.fetch_pages(
                 daemons, '/v1/status', models.DaemonStatus
             )
             behind = [
@@ -60,20 +60,20 @@
     output.run(body, as_json)
 
 
-def _is_behind(reply: operator.Asked, revision: int) -> bool:
+def _is_behind(reply: operator.DaemonReply, revision: int) -> bool:
     page = reply.page
     if not isinstance(page, models.DaemonStatus):
         return True
     return page.revision < revision
 
 
-def _status_row(reply: operator.Asked) -> dict[str, Any]:
+def _status_row(reply: operator.DaemonReply) -> dict[str, Any]:
     if reply.page is None:
         return {'address': reply.address, 'error': reply.error}
     return {'address': reply.address, **reply.page.model_dump()}
 
 
-def _status_line(reply: operator.Asked) -> str:
+def _status_line(reply: operator.DaemonReply) -> str:
     page = reply.page
     if not isinstance(page, models.DaemonStatus):
         return f'{reply.address}: {reply.error}'
@@ -113,7 +113,7 @@
     _require_one_source(daemons, logs)
 
     async def from_daemons() -> int:
-        replies = await operator.ask_all(
+        replies = await operator.fetch_pages(
             daemons, '/v1/status', models.DaemonStatus
         )
         rows = [_explain_row(reply, subject) for reply in replies]
@@ -136,7 +136,7 @@
         raise click.UsageError('give either --daemon or --logs')
 
 
-def _explain_row(reply: operator.Asked, service: str) -> dict[str, Any]:
+def _explain_row(reply: operator.DaemonReply, service: str) -> dict[str, Any]:
     page = reply.page
     if not isinstance(page, models.DaemonStatus):
         return {'address': reply.address, 'error': reply.error}
@@ -199,7 +199,7 @@
 
     async def body() -> int:
         query = {'request_id': request_id, 'revision': revision}
-        replies = await operator.ask_all(
+        replies = await operator.fetch_pages(
             daemons,
             f'/v1/timeline?{urllib.parse.urlencode(query)}',
             models.TimelineResponse,
@@ -234,7 +234,7 @@
     output.run(from_logs if logs is not None else body, as_json)
 
 
-def _exit_code(replies: list[operator.Asked]) -> int:
+def _exit_code(replies: list[operator.DaemonReply]) -> int:
     """Return the exit code: failure if no daemon returned its page."""
     if any(reply.page is not None for reply in replies):
         return common.EXIT_OK
--- a/src/peridotpost/cli/subcommands/rollout.py
+++ b/src/peridotpost/cli/subcommands/rollout.py
@@ -71,7 +71,9 @@
     addresses = tuple(
         relay.admin for zone in page.zones for relay in zone.relays
     )
-    replies = await operator.ask_all(addresses, PAGE, models.RolloutResponse)
+    replies = await operator.fetch_pages(
+        addresses, PAGE, models.RolloutResponse
+    )
     reports = [
         rules.RelayReport(
             reply.page.availability_zone,
@@ -91,7 +93,7 @@
 async def _first_page(daemons: tuple[str, ...]) -> models.RolloutResponse:
     last_error = ''
     for address in daemons:
-        (reply,) = await operator.ask_all(
+        (reply,) = await operator.fetch_pages(
             (address,), PAGE, models.RolloutResponse
         )
         if isinstance(reply.page, models.RolloutResponse):
--- a/src/peridotpost/cli/subcommands/texts.py
+++ b/src/peridotpost/cli/subcommands/texts.py
@@ -21,7 +21,7 @@
     """Check a text without accessing the store."""
 
     async def body() -> int:
-        mesh = operator.mesh_of(operator.read_file(file), str(file))
+        mesh = operator.parse_mesh(operator.read_file(file), str(file))
         count = len(mesh.services)
         output.print_result(
             as_json,
--- a/src/peridotpost/experiment/policies.py
+++ b/src/peridotpost/experiment/policies.py
@@ -16,7 +16,7 @@
 
 
 @contextlib.contextmanager
-def replaced(constants: Mapping[str, float]) -> Iterator[None]:
+def override_constants(constants: Mapping[str, float]) -> Iterator[None]:
     """Override constants within the context and restore them at its end.
 
     :param constants: new values by ``module.CONSTANT``.
--- a/src/peridotpost/experiment/simulation.py
+++ b/src/peridotpost/experiment/simulation.py
@@ -184,7 +184,7 @@
         self.fleet.record_outcome(self, outcome, now - self.first_at)
 
 
-def play(
+def simulate(
     scenario: scenarios.Scenario, seed: int, policy: str
 ) -> results.Result:
     """Run a scenario once, with the current values of the constants."""
--- a/src/peridotpost/standins/keyvalue.py
+++ b/src/peridotpost/standins/keyvalue.py
@@ -21,7 +21,7 @@
     key: bytes
     value: bytes
     created: int
-    modified: int
+    modified_revision: int
     version: int
     lease: int
 
@@ -47,7 +47,7 @@
     """A value is larger than ``MAX_VALUE_BYTES``."""
 
 
-class NoSuchLease(KeyError):
+class LeaseNotFound(KeyError):
     """The lease has expired, or was never granted."""
 
 
@@ -60,7 +60,7 @@
         self.entries: dict[bytes, Entry] = {}
         self.leases: dict[int, Lease] = {}
         self.changes: list[Change] = []
-        self.compacted = 0
+        self.compacted_revision = 0
         self.changed = asyncio.Event()
 
     def range(self, key: bytes, end: bytes) -> list[Entry]:
@@ -82,7 +82,7 @@
         if len(value) > MAX_VALUE_BYTES:
             raise ValueTooLarge(f'value of {len(value)} bytes')
         if lease and lease not in self.leases:
-            raise NoSuchLease(lease)
+            raise LeaseNotFound(lease)
 
     def put(self, key: bytes, value: bytes, lease: int, revision: int) -> None:
         self.check_put(value, lease)
@@ -91,7 +91,7 @@
             key=key,
             value=value,
             created=old.created if old else revision,
-            modified=revision,
+            modified_revision=revision,
             version=old.version + 1 if old else 1,
             lease=lease,
         )
@@ -101,7 +101,9 @@
     def delete(self, key: bytes, revision: int) -> None:
         old = self.entries.pop(key, None)
         if old is not None:
-            tombstone = dataclasses.replace(old, modified=revision, value=b'')
+            tombstone = dataclasses.replace(
+                old, modified_revision=revision, value=b''
+            )
             self._append_change(Change(tombstone, deleted=True))
 
     def _append_change(self, change: Change) -> None:
@@ -109,27 +111,27 @@
         if len(self.changes) > MAX_CHANGES:
             last_dropped = self.changes[-MAX_CHANGES - 1]
             del self.changes[:-MAX_CHANGES]
-            self.compacted = last_dropped.entry.modified + 1
-        self.revision = max(self.revision, change.entry.modified)
+            self.compacted_revision = last_dropped.entry.modified_revision + 1
+        self.revision = max(self.revision, change.entry.modified_revision)
         self.changed.set()
         self.changed = asyncio.Event()
 
     def compact(self, revision: int) -> None:
         """Discard the changes before `revision`."""
-        self.compacted = max(self.compacted, revision)
+        self.compacted_revision = max(self.compacted_revision, revision)
         self.changes = [
             change
             for change in self.changes
-            if change.entry.modified >= revision
+            if change.entry.modified_revision >= revision
         ]
 
-    def changes_from(
+    def changes_since(
         self, key: bytes, end: bytes, revision: int
     ) -> list[Change]:
         return [
             change
             for change in self.changes
-            if change.entry.modified >= revision
+            if change.entry.modified_revision >= revision
             and _in_range(change.entry.key, key, end)
         ]
 
@@ -153,7 +155,7 @@
         :raises LeaseNotFound: the lease has expired, or was never granted.
         """
         if self.leases.pop(lease_id, None) is None:
-            raise NoSuchLease(lease_id)
+            raise LeaseNotFound(lease_id)
         revision = self.revision + 1
         for entry in list(self.entries.values()):
             if entry.lease == lease_id:
--- a/src/peridotpost/standins/platform.py
+++ b/src/peridotpost/standins/platform.py
@@ -151,7 +151,7 @@
 
     def _compare(self, condition: dict[str, Any]) -> bool:
         entry = self.state.entries.get(_bytes(condition['key']))
-        modified = entry.modified if entry else 0
+        modified = entry.modified_revision if entry else 0
         return modified == int(condition.get('mod_revision', 0))
 
     def _apply_operation(
@@ -209,7 +209,7 @@
             answer = platform.answer(method, body)
         except keyvalue.ValueTooLarge as error:
             raise web.HTTPError(400, reason=str(error)) from error
-        except keyvalue.NoSuchLease as error:
+        except keyvalue.LeaseNotFound as error:
             raise web.HTTPError(404, reason='lease not found') from error
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise web.HTTPError(400, reason='malformed') from error
@@ -255,10 +255,10 @@
     ) -> None:
         state = self.platform.state
         while True:
-            if revision < state.compacted:
-                self._cancel_watch(state.compacted)
+            if revision < state.compacted_revision:
+                self._cancel_watch(state.compacted_revision)
                 return
-            changes = state.changes_from(key, end, revision)
+            changes = state.changes_since(key, end, revision)
             revision = max(revision, state.revision + 1)
             if changes:
                 events = [_event_to_json(change) for change in changes]
@@ -333,7 +333,7 @@
         'key': base64.b64encode(entry.key).decode(),
         'value': base64.b64encode(entry.value).decode(),
         'create_revision': str(entry.created),
-        'mod_revision': str(entry.modified),
+        'mod_revision': str(entry.modified_revision),
         'version': str(entry.version),
         'lease': str(entry.lease),
     }
--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -98,7 +98,7 @@
                 self.state.check_put(put.value, put.lease)
         except keyvalue.ValueTooLarge:
             return result.Err(self.error(errors.StoreRefused))
-        except keyvalue.NoSuchLease:
+        except keyvalue.LeaseNotFound:
             return result.Err(self.error(errors.LeaseExpired))
         for put in puts:
             self.state.put(put.key.encode(), put.value, put.lease, revision)
@@ -126,7 +126,7 @@
         ready = self.before('revoke')
         if isinstance(ready, result.Err):
             return ready
-        with contextlib.suppress(keyvalue.NoSuchLease):
+        with contextlib.suppress(keyvalue.LeaseNotFound):
             self.state.revoke(lease)
         return self.after('revoke')
 
@@ -135,7 +135,7 @@
     ) -> AsyncIterator[WatchItem]:
         ready = self.before('watch')
         revision = from_revision
-        if revision < self.state.compacted:
+        if revision < self.state.compacted_revision:
             latest = self.get(key)
             revision = self.state.revision + 1
             if latest is not None and latest.revision >= from_revision:
@@ -143,7 +143,7 @@
         while not (self.outage or self.over_quota):
             if self.ends_watches:
                 return
-            changes = self.state.changes_from(key.encode(), b'', revision)
+            changes = self.state.changes_since(key.encode(), b'', revision)
             revision = max(revision, self.state.revision + 1)
             for change in changes:
                 if not change.deleted:
@@ -157,7 +157,7 @@
 
 def to_key_value(entry: keyvalue.Entry) -> store.KeyValue:
     return store.KeyValue(
-        entry.key.decode(), entry.value, entry.modified, entry.lease
+        entry.key.decode(), entry.value, entry.modified_revision, entry.lease
     )
 
 
--- a/testing/test_experiment.py
+++ b/testing/test_experiment.py
@@ -49,8 +49,8 @@
     scenario: scenarios.Scenario, seed: int = 1, **constants: float
 ) -> results.Result:
     by_path = {name.replace('__', '.'): constants[name] for name in constants}
-    with policies.replaced(by_path):
-        return simulation.play(scenario, seed, 'test')
+    with policies.override_constants(by_path):
+        return simulation.simulate(scenario, seed, 'test')
 
 
 def test_lightly_loaded_fleet_serves_all_in_own_zone() -> None:
@@ -162,13 +162,16 @@
     ],
 )
 def test_policy_overrides_numeric_decision_constants_only(name: str) -> None:
-    with pytest.raises(policies.UnknownConstant), policies.replaced({name: 1}):
+    with (
+        pytest.raises(policies.UnknownConstant),
+        policies.override_constants({name: 1}),
+    ):
         pass
 
 
 def test_policy_constants_are_restored_after_the_run() -> None:
     before = selection.WORTH_CROSSING
-    with policies.replaced({'selection.WORTH_CROSSING': 0.9}):
+    with policies.override_constants({'selection.WORTH_CROSSING': 0.9}):
         assert selection.WORTH_CROSSING == 0.9
     assert selection.WORTH_CROSSING == before
 
@@ -364,9 +367,9 @@
     scenario = scenarios.load(EXAMPLES / name)
     upper_bound = bound.credit_share(bound.intervals(scenario))
     for policy in ({}, *scenario.policies.values()):
-        with policies.replaced(policy):
+        with policies.override_constants(policy):
             assert (
-                simulation.play(scenario, 1, 'test').credit_share
+                simulation.simulate(scenario, 1, 'test').credit_share
                 <= upper_bound
             )
 
