--- a/bench/proxy_path.py
+++ b/bench/proxy_path.py
@@ -86,7 +86,7 @@
 
 async def measure(calls_per_s: float, seconds: float) -> dict[str, object]:
     """Return the results of one run."""
-    kv_store = kv_standin.Kv()
+    kv_store = kv_standin.KvStore()
     run_records = records.Records()
     result: dict[str, object] = {
         'calls_per_s': calls_per_s,
@@ -100,7 +100,9 @@
         store = await stack.enter_async_context(kv_standin.serving(kv_store))
         await kv_store.configure(proxies.config(1))
         host_specs = [
-            hosts.Place(name, runs.network(), number, 'a', service, directory)
+            hosts.HostSpec(
+                name, runs.loopback_network(), number, 'a', service, directory
+            )
             for number, (name, service) in enumerate(
                 (('ingress', 'vault'), ('guard', 'register')), start=1
             )
@@ -124,9 +126,9 @@
             )
             result[f'idle_{name}_mb'] = round(now.resident / MB, 1)
         call_paths = (
-            ('direct', guard.place.behind, hosts.TARGET),
-            ('same_host', guard.place.address, hosts.REQUESTS),
-            ('across', ingress.place.address, hosts.REQUESTS),
+            ('direct', guard.spec.backend_address, hosts.TARGET),
+            ('same_host', guard.spec.address, hosts.REQUESTS),
+            ('across', ingress.spec.address, hosts.REQUESTS),
         )
         for path_name, address, port in call_paths:
             result |= await _measure_path(
--- a/testing/proxies.py
+++ b/testing/proxies.py
@@ -157,7 +157,7 @@
     ``logs`` is the directory of their log files; None discards log lines.
     """
 
-    def __init__(self, kv: kv_standin.Kv, store: str) -> None:
+    def __init__(self, kv: kv_standin.KvStore, store: str) -> None:
         self.kv = kv
         self.store = store
         self.hosts: dict[str, Host] = {}
@@ -291,7 +291,7 @@
 @contextlib.asynccontextmanager
 async def running() -> AsyncIterator[Mesh]:
     """Run a store and an empty mesh."""
-    kv = kv_standin.Kv()
+    kv = kv_standin.KvStore()
     async with kv_standin.serving(kv) as store:
         mesh = Mesh(kv, store)
         async with mesh.exit_stack:
@@ -312,7 +312,7 @@
         await mesh.ready()
         async with host.caller() as blocking_caller:
             blocking_caller.send('/read/hold', attempt='holds')
-            await host.worker.began.wait()
+            await host.worker.run_started.wait()
             yield host
             host.worker.release.set()
             assert (await blocking_caller.receive()).status == 200
--- a/testing/soak/callers.py
+++ b/testing/soak/callers.py
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        host: hosts.Place,
+        host: hosts.HostSpec,
         observed: records.Records,
         shared: 'SharedState',
         rng: random.Random,
--- a/testing/soak/faults.py
+++ b/testing/soak/faults.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         fleet: dict[str, hosts.Host],
-        kv: kv_standin.Kv,
+        kv: kv_standin.KvStore,
         observed: records.Records,
         shared: callers.SharedState,
     ) -> None:
--- a/testing/soak/hosts.py
+++ b/testing/soak/hosts.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class HostSpec:
     """Address, availability zone, service and file location of a host."""
 
     name: str
@@ -43,7 +43,7 @@
         return f'{self.network}.{self.number}'
 
     @property
-    def behind(self) -> str:
+    def backend_address(self) -> str:
         """The address that only the relays connect to."""
         return f'{self.network}.{100 + self.number}'
 
@@ -51,8 +51,8 @@
 class Host:
     """Starts, signals and stops the processes of one host."""
 
-    def __init__(self, spec: Place, observed: records.Records) -> None:
-        self.place = spec
+    def __init__(self, spec: HostSpec, observed: records.Records) -> None:
+        self.spec = spec
         self.observed = observed
         self.daemon: asyncio.subprocess.Process | None = None
         self.target: asyncio.subprocess.Process | None = None
@@ -64,15 +64,15 @@
 
     @property
     def notes_path(self) -> pathlib.Path:
-        return self.place.folder / f'{self.place.name}.runs'
+        return self.spec.folder / f'{self.spec.name}.runs'
 
     @property
     def instance(self) -> str:
-        return f'i-{self.place.name}-{self.target_generation}'
+        return f'i-{self.spec.name}-{self.target_generation}'
 
     async def start_daemon(self, clock_offset_s: float = 0.0) -> None:
         settings = self._write_settings()
-        log = open(self.place.folder / f'{self.place.name}.log', 'ab')
+        log = open(self.spec.folder / f'{self.spec.name}.log', 'ab')
         path = f'{CLOCK_SHIM_FOLDER}:{REPO_ROOT / "src"}:{REPO_ROOT}'
         environment = os.environ | {
             'PYTHONPATH': path,
@@ -96,11 +96,11 @@
             return
         if not same_id:
             self.target_generation += 1
-        spec = self.place
+        spec = self.spec
         options = {
             'instance': self.instance,
             'service': spec.service,
-            'bind': f'{spec.behind}:{TARGET}',
+            'bind': f'{spec.backend_address}:{TARGET}',
             'announced': f'{spec.address}:{TARGET}',
             'beside': f'{spec.address}:{ANNOUNCEMENTS_PORT}',
             'notes': str(self.notes_path),
@@ -148,12 +148,12 @@
             if entry['event'] == 'acknowledged':
                 self.observed.drain_acks.append(
                     records.DrainAck(
-                        entry['at'], self.place.name, entry['instance']
+                        entry['at'], self.spec.name, entry['instance']
                     )
                 )
                 continue
             self.observed.executions.append(
-                _parse_execution(self.place.name, entry)
+                _parse_execution(self.spec.name, entry)
             )
 
     async def _record_unexpected_exit(
@@ -162,16 +162,16 @@
         code = await process.wait()
         if process.pid not in self.expected_exits:
             self.observed.exits.append(
-                records.UnexpectedExit(time.monotonic(), self.place.name, code)
+                records.UnexpectedExit(time.monotonic(), self.spec.name, code)
             )
 
     def _write_settings(self) -> pathlib.Path:
-        spec = self.place
+        spec = self.spec
         listen = {
             'requests': f'{spec.address}:{REQUESTS}',
             'readiness': f'{spec.address}:{READINESS_PORT}',
             'announcements': f'{spec.address}:{ANNOUNCEMENTS_PORT}',
-            'peers': f'{spec.behind}:{PEERS_PORT}',
+            'peers': f'{spec.backend_address}:{PEERS_PORT}',
             'metrics': f'{spec.address}:{METRICS_PORT}',
         }
         settings = {
@@ -181,7 +181,7 @@
             'service': spec.service,
             'target': f'{spec.address}:{TARGET}',
             'listen': listen,
-            'store': f'{spec.behind}:{STORE_PORT}',
+            'store': f'{spec.backend_address}:{STORE_PORT}',
             'shutdown': {'grace_s': SHUTDOWN_GRACE_S},
         }
         path = spec.folder / f'{spec.name}.json'
@@ -222,15 +222,20 @@
 
 @contextlib.asynccontextmanager
 async def running(
-    spec: Place, store: str, observed: records.Records
+    spec: HostSpec, store: str, observed: records.Records
 ) -> AsyncIterator[Host]:
     """Start the relays and processes of a host; stop them on exit."""
     host = Host(spec, observed)
     store_address, _, store_port = store.rpartition(':')
     relay_endpoints = {
-        'store': (spec.behind, STORE_PORT, store_address, int(store_port)),
-        'peers': (spec.address, PEERS_PORT, spec.behind, PEERS_PORT),
-        'target': (spec.address, TARGET, spec.behind, TARGET),
+        'store': (
+            spec.backend_address,
+            STORE_PORT,
+            store_address,
+            int(store_port),
+        ),
+        'peers': (spec.address, PEERS_PORT, spec.backend_address, PEERS_PORT),
+        'target': (spec.address, TARGET, spec.backend_address, TARGET),
     }
     async with contextlib.AsyncExitStack() as stack:
         for name in relay_endpoints:
--- a/testing/soak/run.py
+++ b/testing/soak/run.py
@@ -16,8 +16,8 @@
 from testing.soak import callers
 from testing.soak import faults
 from testing.soak import hosts
+from testing.soak import invariants
 from testing.soak import plan
-from testing.soak import promises
 from testing.soak import records
 from testing.standins import kv as kv_standin
 
@@ -38,7 +38,7 @@
 """The soak checks its own clock at this interval.  If a wake-up is later than
 the threshold, the machine gave it no CPU time, and the processes under test
 may have had none either."""
-RECOVERY_PHASE_S = promises.RECOVERY_S + 4.0
+RECOVERY_PHASE_S = invariants.RECOVERY_S + 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,10 +53,10 @@
     asked: int
     answered: int
     served: int
-    broken: list[promises.Violation]
+    broken: list[invariants.Violation]
 
 
-def network() -> str:
+def loopback_network() -> str:
     """Return a loopback network derived from the process id.
 
     Concurrent runs on one machine use different networks.
@@ -81,7 +81,7 @@
     signal.signal(signal.SIGUSR2, signal.SIG_IGN)
     folder.mkdir(parents=True, exist_ok=True)
     observed = records.Records()
-    kv = kv_standin.Kv()
+    kv = kv_standin.KvStore()
     shared = callers.SharedState()
     names = [f'h{number}' for number in range(1, len(LAYOUT) + 1)]
     fault_plan = plan.generate_faults(seed, seconds, names)
@@ -111,7 +111,7 @@
     A stall in which the daemon itself was busy is no disruption.
     """
     boot_offset_s = time.clock_gettime(time.CLOCK_BOOTTIME) - time.monotonic()
-    path = host.place.folder / f'{host.place.name}.log'
+    path = host.spec.folder / f'{host.spec.name}.log'
     for line in path.read_text().splitlines():
         if '"event":"stalled"' not in line:
             continue
@@ -120,13 +120,15 @@
             continue
         end = entry['boot_s'] - boot_offset_s
         yield records.Disruption(
-            end - entry['late_ms'] / 1000, end, host.place.name, 'no CPU time'
+            end - entry['late_ms'] / 1000, end, host.spec.name, 'no CPU time'
         )
 
 
-def _host_specs(names: list[str], folder: pathlib.Path) -> list[hosts.Place]:
+def _host_specs(
+    names: list[str], folder: pathlib.Path
+) -> list[hosts.HostSpec]:
     return [
-        hosts.Place(name, network(), number, zone, service, folder)
+        hosts.HostSpec(name, loopback_network(), number, zone, service, folder)
         for number, (name, (zone, service)) in enumerate(
             zip(names, LAYOUT, strict=True), start=1
         )
@@ -145,7 +147,7 @@
     caller_tasks = [
         asyncio.ensure_future(
             callers.Caller(
-                host.place,
+                host.spec,
                 env.observed,
                 env.shared,
                 random.Random(f'{seed} {name} {index}'),
@@ -198,7 +200,7 @@
     observed: records.Records,
     folder: pathlib.Path,
 ) -> RunResult:
-    broken = promises.check(observed)
+    broken = invariants.check(observed)
     broken += _find_unhandled_exceptions(folder)
     return RunResult(
         seed,
@@ -214,7 +216,7 @@
 
 def _find_unhandled_exceptions(
     folder: pathlib.Path,
-) -> list[promises.Violation]:
+) -> list[invariants.Violation]:
     """Return a violation for each log with a line that is not JSON.
 
     The traceback of an unhandled exception appears only there.
@@ -224,7 +226,7 @@
         for line in path.read_text().splitlines():
             if not line.startswith('{'):
                 violations.append(
-                    promises.Violation(
+                    invariants.Violation(
                         'no exception goes unhandled', 0.0, f'{path}: {line}'
                     )
                 )
--- a/testing/standins/kv.py
+++ b/testing/standins/kv.py
@@ -40,7 +40,7 @@
         }
 
 
-class Kv:
+class KvStore:
     """State and history of the store, and its injected faults.
 
     :param status: status of the response to every call; 0 for normal service.
@@ -59,7 +59,7 @@
         self.leases: set[int] = set()
         self.status = 0
         self.hang = False
-        self.deaf = False
+        self.hang_watches = False
         self.lose_answers = False
         self.calls: list[str] = []
         self.unanswered_calls: list[str] = []
@@ -96,7 +96,7 @@
         async with self.changed:
             self.changed.notify_all()
 
-    def waiting_watches(self) -> int:
+    def unanswered_watches(self) -> int:
         """Return how many watches were received during `hang`."""
         return self.unanswered_calls.count('/-/kv-watch')
 
@@ -107,7 +107,7 @@
 
 
 class _Handler(web.RequestHandler):
-    def initialize(self, kv: Kv) -> None:
+    def initialize(self, kv: KvStore) -> None:
         self.kv = kv
 
     async def prepare(self) -> None:
@@ -181,7 +181,7 @@
                 await kv.changed.wait_for(
                     lambda: bool(events()) or after < kv.compacted_revision
                 )
-        if kv.deaf:
+        if kv.hang_watches:
             await asyncio.Event().wait()
         if after < kv.compacted_revision:
             self.respond(410)
@@ -228,7 +228,7 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(kv: Kv) -> AsyncIterator[str]:
+async def serving(kv: KvStore) -> AsyncIterator[str]:
     """Serve `kv` on loopback and yield its address."""
     routes = [
         (r'/-/kv-key', _Key),
--- a/testing/standins/worker.py
+++ b/testing/standins/worker.py
@@ -38,15 +38,15 @@
         self.instance = instance
         self.slots = slots
         self.sheds = False
-        self.acts = ''
+        self.forced_action = ''
         self.runs: list[Request] = []
         self.rejected: list[Request] = []
         self.dropped: list[Request] = []
         self.connections = 0
-        self.most_at_once = 0
+        self.max_concurrency = 0
         self.running = 0
         self.release = asyncio.Event()
-        self.began = asyncio.Event()
+        self.run_started = asyncio.Event()
         self.caller_left = asyncio.Event()
         self.address = ''
         self.server: asyncio.Server | None = None
@@ -56,7 +56,7 @@
     def attempts(self) -> list[str]:
         return [one.attempt for one in self.runs]
 
-    def forget_idle(self) -> None:
+    def reset_connections_on_reuse(self) -> None:
         """Reset the current connections when they receive another request."""
         self.reset_on_next_request |= self.writers
 
@@ -98,7 +98,8 @@
             )
             return True
         action = (
-            self.acts or request.target.partition('?')[0].rpartition('/')[2]
+            self.forced_action
+            or request.target.partition('?')[0].rpartition('/')[2]
         )
         if self.sheds or action == 'shed':
             self.rejected.append(request)
@@ -109,8 +110,8 @@
             return True
         self.runs.append(request)
         self.running += 1
-        self.most_at_once = max(self.most_at_once, self.running)
-        self.began.set()
+        self.max_concurrency = max(self.max_concurrency, self.running)
+        self.run_started.set()
         try:
             act = ACTIONS.get(action, _respond)
             return await act(self, request, reader, writer)
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -16,8 +16,8 @@
 
 
 @contextlib.asynccontextmanager
-async def opened() -> AsyncIterator[tuple[store.KvStore, kv_standin.Kv]]:
-    kv = kv_standin.Kv()
+async def opened() -> AsyncIterator[tuple[store.KvStore, kv_standin.KvStore]]:
+    kv = kv_standin.KvStore()
     async with kv_standin.serving(kv) as address:
         client = store.KvStore(*border.split_address(address))
         try:
--- a/testing/test_proxy_bodies.py
+++ b/testing/test_proxy_bodies.py
@@ -56,7 +56,7 @@
         far = mesh.hosts['b']
         async with near.caller() as holding:
             holding.send('/write/hold', method='POST', attempt='holds')
-            await far.worker.began.wait()
+            await far.worker.run_started.wait()
             sent.clear()
             answer = await near.ask(
                 '/write/ok',
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -278,7 +278,7 @@
             await conditions.until(
                 functools.partial(_counted, host, 'store.record-failed')
             )
-        await conditions.until(lambda: mesh.kv.waiting_watches() >= 2)
+        await conditions.until(lambda: mesh.kv.unanswered_watches() >= 2)
         mesh.kv.hang = False
         await mesh.kv.configure(proxies.config(3))
         for host in (first, second):
@@ -297,7 +297,7 @@
     """
     monkeypatch.setattr(store, 'WATCH_WAIT_MS', 100)
     async with proxies.pair() as (mesh, first, second):
-        mesh.kv.deaf = True
+        mesh.kv.hang_watches = True
         await mesh.kv.configure(proxies.config(2))
         for host in (first, second):
             await conditions.until(functools.partial(_is_in_force, host, 2))
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -136,7 +136,7 @@
     async with proxies.pair() as (_, first, second):
         for host in (first, second):
             await host.ask('/read/ok', attempt=f'r{host.name}')
-            host.worker.forget_idle()
+            host.worker.reset_connections_on_reuse()
         for number in range(4):
             answer = await first.ask(
                 '/write/ok', method='POST', attempt=f'w{number}'
@@ -162,7 +162,7 @@
         host.worker.release.set()
         answers = await asyncio.gather(*asked)
         assert {one.status for one in answers} <= {200, 503}
-        assert host.worker.most_at_once == 2
+        assert host.worker.max_concurrency == 2
 
 
 async def test_a_request_that_waited_in_vain_is_refused_in_time() -> None:
@@ -295,7 +295,7 @@
         await first.announce(state='draining')
         async with first.caller() as caller:
             caller.send('/read/hold', attempt='held')
-            await second.worker.began.wait()
+            await second.worker.run_started.wait()
             wrong = dataclasses.replace(second.proxy.own_record, host='gone')
             again = await peers.dial(directory, first.proxy.guard, wrong)
             await conditions.until(lambda: again.closed)
--- a/testing/test_releases.py
+++ b/testing/test_releases.py
@@ -95,7 +95,7 @@
     """
     statuses: list[int] = []
     for name in ('c', 'd'):
-        mesh.hosts[name].worker.acts = action
+        mesh.hosts[name].worker.forced_action = action
 
     async def ask(host: proxies.Host, number: int) -> None:
         count = 0
--- a/testing/test_soak.py
+++ b/testing/test_soak.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from testing.soak import invariants
 from testing.soak import plan
-from testing.soak import promises
 from testing.soak import records
 from testing.soak import run as runs
 
@@ -78,7 +78,7 @@
 
 def test_run_without_violations_passes() -> None:
     assert (
-        promises.check(make_records([make_request()], [make_execution()]))
+        invariants.check(make_records([make_request()], [make_execution()]))
         == []
     )
 
@@ -165,7 +165,7 @@
     executions: list[records.Execution],
     promise: str,
 ) -> None:
-    violations = promises.check(make_records([request_record], executions))
+    violations = invariants.check(make_records([request_record], executions))
     assert any(promise in one.promise for one in violations)
 
 
@@ -175,7 +175,7 @@
         [make_execution(instance='i-old')],
     )
     observed.drain_acks.append(records.DrainAck(98.0, HOST, 'i-old'))
-    (violation,) = promises.check(observed)
+    (violation,) = invariants.check(observed)
     assert 'draining target' in violation.promise
 
 
@@ -189,10 +189,10 @@
     )
     observed = make_records([late], [])
     observed.versions[7] = 97.0
-    (violation,) = promises.check(observed)
+    (violation,) = invariants.check(observed)
     assert 'in force' in violation.promise
     observed.versions[7] = 99.0
-    assert promises.check(observed) == []
+    assert invariants.check(observed) == []
 
 
 def test_disruption_excuses_only_its_own_effects() -> None:
@@ -205,9 +205,10 @@
         ending=records.Ending.CLOSED, status=0, proof='', body=b''
     )
     assert (
-        promises.check(make_records([closed], [make_execution()], kill)) == []
+        invariants.check(make_records([closed], [make_execution()], kill))
+        == []
     )
-    (violation,) = promises.check(
+    (violation,) = invariants.check(
         make_records([closed], [make_execution(), make_execution()], kill)
     )
     assert 'no more often' in violation.promise
@@ -216,7 +217,7 @@
 def test_planned_stop_excuses_nothing() -> None:
     stop = records.Disruption(99.9, 100.5, HOST, 'stop', planned=True)
     closed = make_request(ending=records.Ending.CLOSED, status=0)
-    assert promises.check(make_records([closed], [make_execution()], stop))
+    assert invariants.check(make_records([closed], [make_execution()], stop))
 
 
 def test_fleet_that_does_not_recover_is_reported() -> None:
@@ -224,7 +225,7 @@
     for one in observed.requests:
         one.status = 503
         one.proof = ''
-    violations = promises.check(observed)
+    violations = invariants.check(observed)
     assert (
         'as before' in violations[-1].promise
         or 'as before' in violations[0].promise
