--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -35,7 +35,7 @@
 from peridotpost.model import routing
 from peridotpost.standins import platform as platform_standin
 from peridotpost.store import versions
-from testing import fleets as nodes
+from testing import distribution_harness as nodes
 
 REPEATS = 7
 LEAF_INTEREST = config.Interest(ingress=True)
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -6,7 +6,7 @@
 from peridotpost.border import mesh_document as document_border
 from peridotpost.model import config
 from peridotpost.model import members
-from testing import fleets as nodes
+from testing import distribution_harness as nodes
 
 HOSTS = 5_200
 SERVICES = 150
@@ -91,6 +91,6 @@
 ) -> nodes.Node:
     """Return a node that holds the configuration and all member records."""
     node = nodes.Node(host, interest)
-    node.hold(make_version())
-    node.learn(member_records(hosts))
+    node.offer_version(make_version())
+    node.add_records(member_records(hosts))
     return node
--- a/bench/framing.py
+++ b/bench/framing.py
@@ -30,7 +30,7 @@
 from peridotpost.generated import control_pb2_grpc
 from peridotpost.kernel import timers
 from peridotpost.model import config
-from testing import fleets as nodes
+from testing import distribution_harness as nodes
 
 SEGMENT_HEADER_BYTES = 52
 DATAGRAM_HEADER_BYTES = 28
@@ -115,7 +115,7 @@
         for number in range(CHANGES):
             arrived.clear()
             held = parent.replica.version
-            parent.hold(fleets.changed_version(held, number))
+            parent.offer_version(fleets.changed_version(held, number))
             await arrived.wait()
         changes = _subtract(traffic, before)
         payload = _payload_bytes(totals) - payload
@@ -148,7 +148,7 @@
     parent: nodes.Node, port: int, traffic: TrafficCount
 ) -> dict[str, Any]:
     node = fleets.make_full_node('asking', config.EVERYTHING, MEMBERS)
-    node.hold(parent.replica.version)
+    node.offer_version(parent.replica.version)
     reconciler = reconcile.Reconciler(
         node.replica, node.counts, 'zone-00', random.Random(1)
     )
--- a/bench/meshes.py
+++ b/bench/meshes.py
@@ -102,7 +102,7 @@
         """
         for name, process in self.processes.started.items():
             if process.poll() is not None:
-                log = self.processes.log_of(name)
+                log = self.processes.read_log(name)
                 raise RuntimeError(
                     f'{name} ended, run the benchmark again: {log[-500:]}'
                 )
@@ -185,4 +185,4 @@
             process.send_signal(signal.SIGCONT)
             process.kill()
         for process in mesh_processes.started.values():
-            process.wait(processes.STOP_S)
+            process.wait(processes.STOP_TIMEOUT_S)
--- a/bench/path.py
+++ b/bench/path.py
@@ -308,7 +308,7 @@
         process = bench.processes.started.pop(f'daemon-{host.host}')
         process.send_signal(signal.SIGTERM)
         await asyncio.to_thread(
-            functools.partial(process.wait, processes.STOP_S)
+            functools.partial(process.wait, processes.STOP_TIMEOUT_S)
         )
         profile = pstats.Stats(str(directory / f'profile.{host.host}.pstats'))
         click.echo(f'=== {host.host}')
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -75,7 +75,7 @@
         raise TimeoutError('not every watcher received the version')
 
     def _applied_at(self, name: str) -> float | None:
-        for line in self.processes.log_of(name).splitlines():
+        for line in self.processes.read_log(name).splitlines():
             record = json.loads(line)
             if record['revision'] == self.head:
                 return float(record['at'])
@@ -100,7 +100,7 @@
         for process in mesh_processes.started.values():
             process.send_signal(signal.SIGKILL)
         for process in mesh_processes.started.values():
-            process.wait(processes.STOP_S)
+            process.wait(processes.STOP_TIMEOUT_S)
 
 
 async def measure(
--- a/testing/callpath.py
+++ b/testing/callpath.py
@@ -82,13 +82,13 @@
             )
         )
 
-    def meet(self, *others: 'Node') -> None:
+    def add_members(self, *others: 'Node') -> None:
         """Add the member records of other nodes."""
         for other in others:
             self.replica.offer_member(other.myself.record, 'test')
 
 
-class DirectKeys:
+class DirectKeyedCalls:
     """Replaces key ownership: treats every key as new and runs it here.
 
     The ownership tests check that a key runs only once.
@@ -145,7 +145,7 @@
         router = routers.Router(
             replica, guard, streams, clock, events, counts, zone, randomness
         )
-        router.keyed = DirectKeys(router)
+        router.keyed = DirectKeyedCalls(router)
         call_port = await stack.enter_async_context(
             peer_server.serving(
                 peer_server.PeerServer(guard, counts), '127.0.0.1', 0
@@ -215,7 +215,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Scripted:
+class ScriptedServer:
     """A server that runs a script of the test on each connection."""
 
     port: int = 0
@@ -235,13 +235,13 @@
 
 
 @contextlib.asynccontextmanager
-async def scripted(
+async def scripted_server(
     script: Callable[
-        [Scripted, asyncio.StreamReader, asyncio.StreamWriter], object
+        [ScriptedServer, asyncio.StreamReader, asyncio.StreamWriter], object
     ],
-) -> AsyncIterator[Scripted]:
+) -> AsyncIterator[ScriptedServer]:
     """Serve `script`, a coroutine function, on a free port."""
-    state = Scripted()
+    state = ScriptedServer()
     tasks: set[asyncio.Task[None]] = set()
 
     async def serve(
@@ -284,7 +284,7 @@
         return ''
 
     @property
-    def word(self) -> str:
+    def outcome(self) -> str:
         """The outcome: ``not-run``, ``unknown`` or ``answered``."""
         return self.header('Peridot-Outcome') or 'answered'
 
--- a/testing/fleets.py
+++ b/testing/distribution_harness.py
@@ -66,7 +66,7 @@
     )
 
 
-def hosting(*services: str) -> config.Interest:
+def hosting_interest(*services: str) -> config.Interest:
     return config.Interest(hosted=frozenset(services))
 
 
@@ -98,7 +98,7 @@
     )
 
 
-def many_members(count: int, zones: int = 11) -> list[members.MemberRecord]:
+def make_members(count: int, zones: int = 11) -> list[members.MemberRecord]:
     return [
         member(
             f'host-{number:04d}',
@@ -125,10 +125,10 @@
         )
         self.table = links.LinkTable(self.replica, 1, 'z1')
 
-    def hold(self, held: config.ConfigVersion) -> versions.Verdict:
+    def offer_version(self, held: config.ConfigVersion) -> versions.Verdict:
         return self.replica.offer_full_version(held, 'store')
 
-    def learn(self, records: Iterable[members.MemberRecord]) -> None:
+    def add_records(self, records: Iterable[members.MemberRecord]) -> None:
         for record in records:
             self.replica.offer_member(record, 'test')
 
@@ -180,7 +180,7 @@
         return frame
 
 
-def run_until_quiet(pipes: Iterable[Pipe]) -> int:
+def run_until_idle(pipes: Iterable[Pipe]) -> int:
     """Exchange frames until no link has any pending; return their count."""
     delivered = 0
     for _ in range(MAX_ROUNDS):
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -22,7 +22,7 @@
 
 TIMEOUT_S = 30.0
 POLL_INTERVAL_S = 0.02
-STOP_S = 10.0
+STOP_TIMEOUT_S = 10.0
 
 
 class WaitTimeoutError(AssertionError):
@@ -75,13 +75,13 @@
     def stop(self, name: str) -> int:
         """Terminate a program by SIGTERM and return its exit code."""
         self.signal(name, signal.SIGTERM)
-        return self.started.pop(name).wait(STOP_S)
+        return self.started.pop(name).wait(STOP_TIMEOUT_S)
 
     def kill(self, name: str) -> None:
         self.signal(name, signal.SIGKILL)
-        self.started.pop(name).wait(STOP_S)
+        self.started.pop(name).wait(STOP_TIMEOUT_S)
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         return (self.directory / f'{name}.log').read_text()
 
     def control(self, *arguments: str) -> subprocess.CompletedProcess[str]:
@@ -94,7 +94,7 @@
             check=False,
         )
 
-    def accept(self, text: str) -> int:
+    def accept_config(self, text: str) -> int:
         """Accept `text` as the configuration; return its revision."""
         file = self.directory / 'text.yaml'
         file.write_text(text)
@@ -145,7 +145,7 @@
         """Wait until each host's route table has `count` targets."""
         for host in hosts or self.plan.hosts:
             self.wait(
-                functools.partial(self.routes_to, host, count),
+                functools.partial(self.has_target_count, host, count),
                 f'{host.host} routes to {count} targets',
             )
 
@@ -155,7 +155,7 @@
     def has_in_force(self, host: mesh.PlannedHost, revision: int) -> bool:
         return int(self.status(host)['revision']) >= revision
 
-    def routes_to(self, host: mesh.PlannedHost, count: int) -> bool:
+    def has_target_count(self, host: mesh.PlannedHost, count: int) -> bool:
         return self.target_count(host) == count
 
     def target_count(self, host: mesh.PlannedHost) -> int:
@@ -175,14 +175,15 @@
                     return
             time.sleep(POLL_INTERVAL_S)
         logs = '\n'.join(
-            f'--- {name}\n{self.log_of(name)[-1500:]}' for name in self.started
+            f'--- {name}\n{self.read_log(name)[-1500:]}'
+            for name in self.started
         )
         raise WaitTimeoutError(
             f'timed out waiting until {description}\n{logs}'
         )
 
 
-def new_key(suffix: str = '') -> str:
+def new_idempotency_key(suffix: str = '') -> str:
     """Return a new idempotency key, as a caller generates it."""
     key = idempotency.generate_key(
         time.time_ns() // 1_000_000, random.Random()
@@ -259,4 +260,4 @@
             process.send_signal(signal.SIGCONT)
             process.kill()
         for process in running_mesh.started.values():
-            process.wait(STOP_S)
+            process.wait(STOP_TIMEOUT_S)
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -39,7 +39,7 @@
 from peridotpost.store import versions
 from testing import conditions
 from testing import conftest
-from testing import fleets as nodes
+from testing import distribution_harness as nodes
 
 ZONE_HOSTS = 473
 LEAF_INTEREST = config.Interest(ingress=True)
@@ -56,7 +56,7 @@
 def exchange_all(pipe: nodes.Pipe) -> Cost:
     """Exchange all pending frames; return their number and size."""
     before = pipe.bytes_sent
-    messages = nodes.run_until_quiet([pipe])
+    messages = nodes.run_until_idle([pipe])
     return Cost(messages, pipe.bytes_sent - before)
 
 
@@ -99,7 +99,7 @@
     assert wire.update_to_wire(full_update).ByteSize() <= whole_bytes
     for number in range(len(parent.replica.version.services)):
         held = parent.replica.version
-        parent.hold(fleets.changed_version(held, number))
+        parent.offer_version(fleets.changed_version(held, number))
         cost = exchange_all(pipe)
         assert cost.messages == 2
         assert cost.size <= delta_bytes
@@ -109,7 +109,7 @@
 def test_member_change_sends_one_record() -> None:
     pipe, child, parent = connected_nodes(LEAF_INTEREST)
     for record in fleets.member_records(20):
-        parent.learn([next_sequence(record)])
+        parent.add_records([next_sequence(record)])
         cost = exchange_all(pipe)
         assert cost.messages == 1
         assert cost.size <= 110
@@ -143,7 +143,7 @@
     hello = await asyncio.wait_for(sent.get(), 30)
     assert hello.HasField('hello')
     for record in list(fleets.member_records(60))[20:]:
-        parent.learn([record])
+        parent.add_records([record])
         # Let the link task run, so that the records arrive separately.
         for _ in range(5):
             await asyncio.sleep(0)
@@ -194,7 +194,7 @@
     """Sending all record versions took 124 KB each, 24 KB/s per daemon."""
     local = fleets.make_full_node('mine', LEAF_INTEREST)
     remote = fleets.make_full_node('other', config.EVERYTHING)
-    remote.learn(
+    remote.add_records(
         next_sequence(record) for record in fleets.member_records(changed)
     )
     servicer = server.ControlServicer(
--- a/testing/test_call_invariants.py
+++ b/testing/test_call_invariants.py
@@ -32,7 +32,7 @@
 
     async def serve(
         self,
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -116,12 +116,12 @@
         ]
         for node in nodes[:3]:
             server = await stack.enter_async_context(
-                callpath.scripted(targets.serve)
+                callpath.scripted_server(targets.serve)
             )
             for service in ('read', 'write'):
                 node.announce(service, server.port)
         for node in nodes:
-            node.meet(*nodes)
+            node.add_members(*nodes)
         await asyncio.gather(
             *(
                 call(number, nodes[2 + number % 3].port)
@@ -136,15 +136,15 @@
             for held in node.guard.gates.by_target.values():
                 assert held.gate.running == held.gate.waiting == 0
             assert node.router.load_tracker.outstanding == {}
-    outcomes = collections.Counter(reply.word for reply in replies.values())
+    outcomes = collections.Counter(reply.outcome for reply in replies.values())
     assert min(outcomes.values()) > 0 and len(outcomes) == 3, outcomes
     for path, reply in replies.items():
-        if reply.word == 'not-run':
+        if reply.outcome == 'not-run':
             assert targets.runs[path] == 0, path
-        elif reply.word == 'answered' and reply.status == 200:
+        elif reply.outcome == 'answered' and reply.status == 200:
             assert reply.body.decode() == path
             assert targets.runs[path] >= 1
         else:
-            assert reply.word == 'unknown' or reply.status == 503
+            assert reply.outcome == 'unknown' or reply.status == 503
     for path, runs in targets.runs.items():
         assert runs == 1 or path.startswith('/read'), path
--- a/testing/test_caller_contract.py
+++ b/testing/test_caller_contract.py
@@ -156,7 +156,7 @@
         async with callpath.caller(node.port) as caller:
             await caller.send(raw)
             reply = await caller.read_reply()
-            assert (reply.status, reply.word) == (status, outcome)
+            assert (reply.status, reply.outcome) == (status, outcome)
             if problem_type:
                 problem = json.loads(reply.body)
                 assert problem['type'].endswith(problem_type)
@@ -253,7 +253,7 @@
             reply = await caller.ask(
                 'read', 'GET', '/', b'', f'Standin-Answer-Bytes: {size}'
             )
-            assert (reply.status, reply.word) == (status, outcome)
+            assert (reply.status, reply.outcome) == (status, outcome)
             if status == 200:
                 assert reply.body == b'x' * size
 
@@ -273,7 +273,7 @@
 
 
 async def answer_by_path(
-    state: callpath.Scripted,
+    state: callpath.ScriptedServer,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
@@ -286,7 +286,7 @@
     """Hop-by-hop headers are dropped; others pass, also repeated ones."""
     async with (
         callpath.node('h1') as node,
-        callpath.scripted(answer_by_path) as target,
+        callpath.scripted_server(answer_by_path) as target,
         callpath.caller(node.port) as caller,
     ):
         node.announce('read', target.port)
@@ -349,7 +349,7 @@
     ):
         host = back if remote else front
         host.announce(service, target.settings.port)
-        front.meet(back)
+        front.add_members(back)
         async with callpath.caller(front.port) as caller:
             # A call to be cancelled must not end by itself during the test.
             work = 60_000 if cancelled else 200
@@ -452,7 +452,7 @@
                 lambda: buffered_bytes(node) == 1499, 'buffered'
             )
             reply = await second.ask('read', 'PUT', '/', body)
-            assert (reply.status, reply.word) == (503, 'not-run')
+            assert (reply.status, reply.outcome) == (503, 'not-run')
             assert reply.header('Retry-After') == '1'
             leaving.writer.close()
             await first.send(raw[-1:])
@@ -482,7 +482,7 @@
         monkeypatch.setattr(node.router, 'route', broken)
         async with callpath.caller(node.port) as caller:
             reply = await caller.ask('read')
-        assert (reply.status, reply.word) == (502, 'unknown')
+        assert (reply.status, reply.outcome) == (502, 'unknown')
 
 
 async def test_concurrent_callers_each_get_their_own_answer() -> None:
@@ -506,6 +506,6 @@
                 answered += 1
                 assert json.loads(reply.body)['path'] == f'/{number}'
             else:
-                assert reply.word == 'not-run'
+                assert reply.outcome == 'not-run'
                 assert int(reply.header('Retry-After')) >= 1
         assert target.counts['ran'] == answered
--- a/testing/test_distribution_faults.py
+++ b/testing/test_distribution_faults.py
@@ -115,11 +115,11 @@
     # the version, as do the killed daemons after their restart.
     running = start_mesh(running_mesh, mesh_text, hosts_per_zone=3)
     zone = running.plan.hosts[0].availability_zone
-    running.wait_in_force(running.accept(mesh_text))
+    running.wait_in_force(running.accept_config(mesh_text))
     killed = relays(running, zone)
     assert len(killed) == 2
     kill_daemons(running, killed)
-    revision = running.accept(with_deadline(mesh_text, 2100))
+    revision = running.accept_config(with_deadline(mesh_text, 2100))
     survivors = tuple(
         host for host in running.plan.hosts if host not in killed
     )
@@ -137,10 +137,10 @@
     # they restart together.  All daemons get the newest version and know
     # all members again.
     running = start_mesh(running_mesh, mesh_text)
-    running.wait_in_force(running.accept(mesh_text))
+    running.wait_in_force(running.accept_config(mesh_text))
     killed = list(running.plan.hosts[::2])
     kill_daemons(running, killed)
-    revision = running.accept(with_deadline(mesh_text, 2100))
+    revision = running.accept_config(with_deadline(mesh_text, 2100))
     running.wait_in_force(revision, running.plan.hosts[1::2])
     for host in killed:
         running.start_daemon(host)
@@ -157,7 +157,7 @@
     # as none has a version.  After the outage all of them reach the
     # platform at once, and their calls must stay bounded.
     running = start_mesh(running_mesh, mesh_text)
-    first = running.accept(mesh_text)
+    first = running.accept_config(mesh_text)
     running.wait_in_force(first)
     kill_daemons(running, list(running.plan.hosts))
     running.set_faults(outage=True)
@@ -203,7 +203,7 @@
     # name a few peers.  It gets the fleet's version from them before it
     # reports ready.
     running = start_mesh(running_mesh, mesh_text)
-    revision = running.accept(mesh_text)
+    revision = running.accept_config(mesh_text)
     running.wait_in_force(revision)
     running.set_faults(outage=True)
     replaced, *others = running.plan.hosts
@@ -225,15 +225,15 @@
     # continued, the relay applies the newest directly and never an older
     # one.
     running = start_mesh(running_mesh, mesh_text, hosts_per_zone=3)
-    running.wait_in_force(running.accept(mesh_text))
+    running.wait_in_force(running.accept_config(mesh_text))
     zone = running.plan.hosts[0].availability_zone
     paused = parent_of_leaf(running, zone)
     running.signal(f'daemon-{paused.host}', signal.SIGSTOP)
     others = tuple(host for host in running.plan.hosts if host is not paused)
     running.wait_in_force(
-        running.accept(with_deadline(mesh_text, 2100)), others
+        running.accept_config(with_deadline(mesh_text, 2100)), others
     )
-    newest = running.accept(with_deadline(mesh_text, 2200))
+    newest = running.accept_config(with_deadline(mesh_text, 2200))
     running.wait_in_force(newest, others)
     running.signal(f'daemon-{paused.host}', signal.SIGCONT)
     running.wait_in_force(newest)
@@ -258,7 +258,7 @@
     # match its hash.  No daemon may apply these; the relays count them.  A
     # valid version written afterwards is in force everywhere.
     running = start_mesh(running_mesh, mesh_text, hosts_per_zone=1)
-    first = running.accept(mesh_text)
+    first = running.accept_config(mesh_text)
     running.wait_in_force(first)
     valid = asyncio.run(overwrite_head(running, b'\x00\xff'))
     mismatched = valid.replace(b'"sha256": "', b'"sha256": "0')
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -230,7 +230,7 @@
     """
 
     async def fails(
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -241,13 +241,13 @@
     async with (
         callpath.node('front') as front,
         callpath.node('good') as good,
-        callpath.scripted(fails) as bad,
+        callpath.scripted_server(fails) as bad,
         callpath.standin_target('read') as target,
         callpath.caller(front.port) as caller,
     ):
         front.announce('read', bad.port)
         good.announce('read', target.settings.port)
-        front.meet(good)
+        front.add_members(good)
         statuses = [(await caller.ask('read')).status for _ in range(100)]
         assert set(statuses) == {200, 500}
         # Six consecutive errors eject it; on a slow machine one or two trials
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -127,7 +127,7 @@
     found: list[str] = []
 
     def printed() -> bool:
-        found[:] = re.findall(r'listening on (\d+)', one.log_of(name))
+        found[:] = re.findall(r'listening on (\d+)', one.read_log(name))
         return bool(found)
 
     one.wait(printed, f'{name} listens')
@@ -203,7 +203,7 @@
     # declare them dead by its expired timers, but refute its own death.
     one = running_mesh(zone_text, hosts_per_zone=4, settings=FAST)
     one.wait_ready()
-    one.wait_in_force(one.accept(zone_text))
+    one.wait_in_force(one.accept_config(zone_text))
     one.wait_targets(4)
     *others, paused = one.plan.hosts
     service = others[0].service
@@ -281,7 +281,7 @@
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
     one = running_mesh(text, hosts_per_zone=4, settings=FAST)
     one.wait_ready()
-    one.wait_in_force(one.accept(text))
+    one.wait_in_force(one.accept_config(text))
     one.wait_targets(4)
     ingress, leaving_host = one.plan.hosts[0], one.plan.hosts[3]
     service = ingress.service
@@ -319,7 +319,7 @@
         assert answer.status == 200, answer.body
         assert json.loads(answer.body)['path'] == '/long'
     process = one.started.pop(f'{leaving}-{leaving_host.host}')
-    assert process.wait(processes.STOP_S) == 0
+    assert process.wait(processes.STOP_TIMEOUT_S) == 0
     if leaving == 'daemon':
         wait_all_see(one, list(others), leaving_host.host, 'left')
 
@@ -333,7 +333,7 @@
     text = zone_text.replace('deadline_ms: 2000', 'deadline_ms: 20000')
     one = running_mesh(text, hosts_per_zone=2, settings=FAST)
     one.wait_ready()
-    one.wait_in_force(one.accept(text))
+    one.wait_in_force(one.accept_config(text))
     one.wait_targets(2)
     elsewhere, ingress = one.plan.hosts
     port = target_port(one, f'target-{elsewhere.host}')
@@ -367,7 +367,7 @@
         zone_text, hosts_per_zone=2, targets=False, settings=FAST
     )
     one.wait_ready()
-    one.wait_in_force(one.accept(zone_text))
+    one.wait_in_force(one.accept_config(zone_text))
     host, other = one.plan.hosts
     name = f'target-{host.host}'
     one.start_target(host)
@@ -395,6 +395,6 @@
     )
     assert one.target_count(other) == 0
     more = zone_text + '  coming-soon: {deadline_ms: 1000}\n'
-    one.wait_in_force(one.accept(more))
+    one.wait_in_force(one.accept_config(more))
     announce(host, 'coming-soon')
     one.wait_targets(1)
--- a/testing/test_once_faults.py
+++ b/testing/test_once_faults.py
@@ -39,7 +39,7 @@
         running.wait_ready()
         for host in self.others:
             running.start_target(host)
-        running.wait_in_force(running.accept(CONFIG_TEXT))
+        running.wait_in_force(running.accept_config(CONFIG_TEXT))
         running.wait_targets(len(self.others))
 
     @property
@@ -49,7 +49,7 @@
     def key(self) -> str:
         """Generate a key that names the owner."""
         zone, host = self.owner.availability_zone, self.owner.host
-        return processes.new_key(f'@{zone}/{host}')
+        return processes.new_idempotency_key(f'@{zone}/{host}')
 
     def call(
         self, host: mesh.PlannedHost, key: str | None, work_ms: int = 0
@@ -67,7 +67,7 @@
         for name in self.mesh.started:
             if name.startswith('target-'):
                 found = re.search(
-                    r'listening on (\d+)', self.mesh.log_of(name)
+                    r'listening on (\d+)', self.mesh.read_log(name)
                 )
                 assert found is not None
                 page = f'http://127.0.0.1:{found[1]}/standin/counts'
@@ -170,7 +170,7 @@
 @pytest.mark.processes
 def test_calls_run_once_during_store_outage(once: OnceMesh) -> None:
     """Keys are still generated, run and replayed during the outage."""
-    unowned_key = processes.new_key()
+    unowned_key = processes.new_idempotency_key()
     first = {once.call(host, unowned_key).body for host in once.others}
     once.mesh.set_faults(outage=True)
     again = {once.call(host, unowned_key).body for host in once.others}
--- a/testing/test_operator_cli.py
+++ b/testing/test_operator_cli.py
@@ -436,6 +436,6 @@
     assert process.stderr is not None
     assert any('waiting-for-store' in line for line in process.stderr)
     process.send_signal(signal.SIGTERM)
-    out, stderr = process.communicate(timeout=processes.STOP_S)
+    out, stderr = process.communicate(timeout=processes.STOP_TIMEOUT_S)
     assert process.returncode == OK, out + stderr
     assert 'Traceback' not in stderr
--- a/testing/test_path.py
+++ b/testing/test_path.py
@@ -16,7 +16,7 @@
 ) -> None:
     running = running_mesh(mesh_text)
     running.wait_ready()
-    running.wait_in_force(running.accept(mesh_text))
+    running.wait_in_force(running.accept_config(mesh_text))
     running.wait_targets(4)
     for host in running.plan.hosts:
         answer = processes.call(
@@ -25,7 +25,10 @@
             'POST',
             '/bonds?x=1',
             b'amount=1',
-            {'Idempotency-Key': processes.new_key(), 'X-Kept': 'yes'},
+            {
+                'Idempotency-Key': processes.new_idempotency_key(),
+                'X-Kept': 'yes',
+            },
         )
         assert answer.status == 200, answer.body
         body = json.loads(answer.body)
@@ -44,4 +47,4 @@
     host = running.plan.hosts[0]
     assert running.stop(f'target-{host.host}') == 0
     assert running.stop(f'daemon-{host.host}') == 0
-    assert 'Traceback' not in running.log_of(f'daemon-{host.host}')
+    assert 'Traceback' not in running.read_log(f'daemon-{host.host}')
--- a/testing/test_peer_contract.py
+++ b/testing/test_peer_contract.py
@@ -60,13 +60,13 @@
     """Add a host to `front` whose guard follows `behaviour`."""
 
     async def script(
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         await behaviour(StreamEnd(reader, writer))
 
-    async with callpath.scripted(script) as server:
+    async with callpath.scripted_server(script) as server:
         ready = members.TargetState.READY
         front.replica.offer_member(
             members.MemberRecord(
@@ -173,13 +173,13 @@
         good.announce('read', read.settings.port)
         async with faulty_guard(front, behaviour):
             reply = await caller.ask('write', 'POST', '/w', b'x')
-            assert (reply.status, reply.word) == (502, 'unknown')
-            front.meet(good)
+            assert (reply.status, reply.outcome) == (502, 'unknown')
+            front.add_members(good)
             # Make the faulty target the less loaded one.
             for _ in range(3):
                 front.router.load_tracker.sent('good/t-good')
             reply = await caller.ask('read', 'GET', '/r')
-            assert (reply.status, reply.word) == (200, 'answered')
+            assert (reply.status, reply.outcome) == (200, 'answered')
             assert front.counts.totals['router.retried'] == 1
         assert (read.counts['ran'], write.counts['ran']) == (1, 0)
 
@@ -225,7 +225,7 @@
     ):
         timeout = 'Peridot-Timeout-Ms: 30'
         reply = await caller.ask('write', 'POST', '/late', b'', timeout)
-        assert reply.word == 'unknown'
+        assert reply.outcome == 'unknown'
         reply = await caller.ask('write', 'POST', '/next', b'x')
         assert reply.body == b'/next'
 
@@ -326,15 +326,15 @@
     ):
         one.announce(service, target.settings.port)
         two.announce(service, target.settings.port)
-        front.meet(one, two)
+        front.add_members(one, two)
         one.guard.leaving = True
         for number in range(8):
             reply = await caller.ask(service, 'POST', f'/{number}', b'x')
-            assert (reply.status, reply.word) == (200, 'answered')
+            assert (reply.status, reply.outcome) == (200, 'answered')
         assert target.counts['ran'] == 8
         two.guard.leaving = True
         reply = await caller.ask(service, 'POST', '/', b'x')
-        assert (reply.status, reply.word) == (503, 'not-run')
+        assert (reply.status, reply.outcome) == (503, 'not-run')
         assert target.counts['ran'] == 8
 
 
@@ -345,7 +345,7 @@
         callpath.standin_target('read') as target,
     ):
         back.announce('read', target.settings.port, slots=4)
-        front.meet(back)
+        front.add_members(back)
         async with (
             callpath.caller(front.port) as slow,
             callpath.caller(front.port) as fast,
--- a/testing/test_poison.py
+++ b/testing/test_poison.py
@@ -119,7 +119,7 @@
     """
     one = running_mesh(TEXT)
     one.wait_ready()
-    one.wait_in_force(one.accept(TEXT))
+    one.wait_in_force(one.accept_config(TEXT))
     one.wait_targets(4)
     outcomes: list[str] = []
     for number in range(12):
--- a/testing/test_replicas_machine.py
+++ b/testing/test_replicas_machine.py
@@ -20,7 +20,7 @@
 from peridotpost.model import errors
 from peridotpost.model import members
 from peridotpost.model import routing
-from testing import fleets
+from testing import distribution_harness
 
 SERVICES = ('a', 'b', 'c', 'd')
 HOSTS = ('relay', 'middle', 'leaf-1', 'leaf-2')
@@ -72,37 +72,45 @@
         super().__init__()
         self.accepted = {0: config.NO_CONFIG}
         self.nodes = {host: self.new_node(host) for host in HOSTS}
-        self.pipes: dict[str, fleets.Pipe] = {}
+        self.pipes: dict[str, distribution_harness.Pipe] = {}
         self.highest_revision: dict[str, int] = dict.fromkeys(HOSTS, 0)
         for child in PARENTS:
             self.connect(child)
         self.accept({'a': {'b'}, 'c': {'d'}}, read=True)
-        fleets.run_until_quiet(list(self.pipes.values()))
+        distribution_harness.run_until_idle(list(self.pipes.values()))
 
-    def new_node(self, host: str) -> fleets.Node:
-        scope = fleets.hosting('a') if host in LEAVES else config.EVERYTHING
-        node = fleets.Node(host, scope)
-        node.learn([fleets.member(host, service='a')])
+    def new_node(self, host: str) -> distribution_harness.Node:
+        scope = (
+            distribution_harness.hosting_interest('a')
+            if host in LEAVES
+            else config.EVERYTHING
+        )
+        node = distribution_harness.Node(host, scope)
+        node.add_records([distribution_harness.member(host, service='a')])
         return node
 
     def connect(self, child: str) -> None:
         parent = self.nodes[PARENTS[child]]
-        self.pipes[child] = fleets.Pipe(self.nodes[child], parent)
+        self.pipes[child] = distribution_harness.Pipe(
+            self.nodes[child], parent
+        )
 
     @stateful.rule(text=texts, read=st.booleans())
     def accept(self, text: dict[str, set[str]], read: bool) -> None:
         all_services = set(text).union(*text.values())
         services = {name: sorted(text.get(name, ())) for name in all_services}
         revision = max(self.accepted) + 3
-        self.accepted[revision] = fleets.version(revision, services)
+        self.accepted[revision] = distribution_harness.version(
+            revision, services
+        )
         if read:
-            self.nodes['relay'].hold(self.accepted[revision])
+            self.nodes['relay'].offer_version(self.accepted[revision])
 
     @stateful.rule(late=st.integers(0, 3))
     def read_store(self, late: int) -> None:
         newest_first = sorted(self.accepted, reverse=True)
         revision = newest_first[min(late, len(newest_first) - 1)]
-        self.nodes['relay'].hold(self.accepted[revision])
+        self.nodes['relay'].offer_version(self.accepted[revision])
 
     @stateful.rule(child=children, side=sides)
     def send(self, child: str, side: int) -> None:
@@ -115,7 +123,7 @@
 
     @stateful.rule(child=children)
     def exchange(self, child: str) -> None:
-        fleets.run_until_quiet([self.pipes[child]])
+        distribution_harness.run_until_idle([self.pipes[child]])
 
     @stateful.rule(child=children, side=sides)
     def repeat(self, child: str, side: int) -> None:
@@ -166,11 +174,15 @@
     )
     def change_scope(self, host: str, hosted: set[str]) -> None:
         replica = self.nodes[host].replica
-        replica.set_interest(fleets.hosting(*hosted))
+        replica.set_interest(distribution_harness.hosting_interest(*hosted))
 
     @stateful.rule(is_parent=st.booleans())
     def change_position(self, is_parent: bool) -> None:
-        scope = config.EVERYTHING if is_parent else fleets.hosting('a')
+        scope = (
+            config.EVERYTHING
+            if is_parent
+            else distribution_harness.hosting_interest('a')
+        )
         self.nodes['middle'].replica.set_interest(scope)
 
     @stateful.rule(
@@ -189,13 +201,13 @@
         service: str,
     ) -> None:
         held = self.nodes[at].replica.fleet.records.get(host)
-        record = held or fleets.member(host, service=service)
+        record = held or distribution_harness.member(host, service=service)
         updated = dataclasses.replace(
             record,
             status=status,
             incarnation=record.incarnation + incarnation_increment,
         )
-        self.nodes[at].learn([updated])
+        self.nodes[at].add_records([updated])
 
     @stateful.invariant()
     def revision_never_decreases(self) -> None:
@@ -227,8 +239,8 @@
         for child in PARENTS:
             self.break_stream(child)
         newest = max(self.accepted)
-        self.nodes['relay'].hold(self.accepted[newest])
-        fleets.run_until_quiet(list(self.pipes.values()))
+        self.nodes['relay'].offer_version(self.accepted[newest])
+        distribution_harness.run_until_idle(list(self.pipes.values()))
         sums = {tuple(n.replica.fleet.sums) for n in self.nodes.values()}
         assert len(sums) == 1
         for node in self.nodes.values():
@@ -263,9 +275,9 @@
     # Two scopes select the same services of one version and different ones
     # of the next.  With equal scope digests, a parent would confuse their
     # children and send an update that misses services.
-    held = fleets.version(3, {'a': ['b'], 'b': []})
-    one = fleets.hosting('a')
-    other = fleets.hosting('a', 'b')
+    held = distribution_harness.version(3, {'a': ['b'], 'b': []})
+    one = distribution_harness.hosting_interest('a')
+    other = distribution_harness.hosting_interest('a', 'b')
     assert held.narrow(one) == held.narrow(other)
     assert versions.scope_digest(held, one) != versions.scope_digest(
         held, other
--- a/testing/test_retry.py
+++ b/testing/test_retry.py
@@ -103,7 +103,7 @@
 
 
 async def shed(
-    state: callpath.Scripted,
+    state: callpath.ScriptedServer,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
@@ -118,13 +118,13 @@
     async with (
         callpath.node('front') as front,
         callpath.node('good') as good,
-        callpath.scripted(shed) as full,
+        callpath.scripted_server(shed) as full,
         callpath.standin_target('read') as target,
         callpath.caller(front.port) as caller,
     ):
         front.announce('read', full.port)
         good.announce('read', target.settings.port)
-        front.meet(good)
+        front.add_members(good)
         for _ in range(20):
             assert (await caller.ask('read')).status == 200
         assert target.counts['ran'] == 20
@@ -138,7 +138,7 @@
     """
 
     async def dies(
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -147,16 +147,16 @@
     async with (
         callpath.node('front') as front,
         callpath.node('back') as back,
-        callpath.scripted(dies) as dying,
+        callpath.scripted_server(dies) as dying,
         callpath.caller(front.port) as caller,
     ):
         front.announce('read', dying.port)
         back.announce('read', dying.port)
-        front.meet(back)
+        front.add_members(back)
         back.guard.leaving = True
         front.router.load_tracker.sent('back/t-back')
         reply = await caller.ask('read')
-        assert (reply.status, reply.word) == (502, 'unknown')
+        assert (reply.status, reply.outcome) == (502, 'unknown')
         assert front.counts.totals['router.retried'] == 1
         assert len(dying.requests) == 1
 
@@ -190,7 +190,7 @@
 
     async def serve(
         self,
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -230,7 +230,7 @@
 async def run_chain(chain: Chain, hosts: int) -> callpath.Reply:
     async with contextlib.AsyncExitStack() as stack:
         server = await stack.enter_async_context(
-            callpath.scripted(chain.serve)
+            callpath.scripted_server(chain.serve)
         )
         nodes = [
             await stack.enter_async_context(
@@ -242,7 +242,7 @@
             for level in range(LEVELS):
                 node.announce(f's{level}', server.port)
         for node in nodes:
-            node.meet(*nodes)
+            node.add_members(*nodes)
             chain.ports.append(node.egress_port)
         caller = await stack.enter_async_context(
             callpath.caller(nodes[0].port)
@@ -256,7 +256,7 @@
     assert chain.seen == list(range(10))
     assert chain.budgets == sorted(chain.budgets, reverse=True)
     assert chain.budgets[0] <= 10_000
-    assert (reply.status, reply.word) == (403, 'not-run')
+    assert (reply.status, reply.outcome) == (403, 'not-run')
     assert b'calls deep' in reply.body
 
 
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -36,7 +36,7 @@
 ) -> None:
     one = running_mesh(mesh_text, hosts_per_zone=3, targets=False)
     one.wait_ready()
-    revision = one.accept(mesh_text)
+    revision = one.accept_config(mesh_text)
     done = one.control(
         'rollout',
         '--daemon',
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -25,7 +25,7 @@
 from peridotpost.model import members
 from peridotpost.store import store
 from peridotpost.store import versions
-from testing import fleets
+from testing import distribution_harness
 
 
 async def never_read() -> control_pb2.Frame:
@@ -41,7 +41,7 @@
     pass
 
 
-def make_link(node: fleets.Node) -> links.Link:
+def make_link(node: distribution_harness.Node) -> links.Link:
     node.replica.clock = timers.TimerService(random.Random(1))
     link = links.Link('peer', node.table, node.counts)
     link.hello_due = True
@@ -52,7 +52,7 @@
     # The sender of a link fails, by a bug or a record that cannot be
     # encoded, while its receiver still reads.  If the link stayed open, the
     # peer would receive no further version without noticing.
-    node = fleets.Node('here')
+    node = distribution_harness.Node('here')
     link = make_link(node)
     with pytest.raises(ValueError, match='cannot be encoded'):
         await streams.run_link(
@@ -64,7 +64,7 @@
 async def test_link_ends_after_missed_heartbeats() -> None:
     # A peer freezes while its connection stays open.  The link must end
     # after three heartbeats of this side without a sign of life.
-    node = fleets.Node('here')
+    node = distribution_harness.Node('here')
     link = make_link(node)
     answers = [True, False, False, True, False, False]
 
@@ -102,7 +102,7 @@
 
 
 @contextlib.asynccontextmanager
-async def serve_parent(node: fleets.Node) -> AsyncIterator[str]:
+async def serve_parent(node: distribution_harness.Node) -> AsyncIterator[str]:
     node.replica.clock = timers.TimerService(random.Random(1))
     servicer = control.ControlServicer(node.replica, node.table, node.counts)
     async with control.serving(servicer, '127.0.0.1', 0) as port:
@@ -110,7 +110,7 @@
 
 
 async def wait_for_version(
-    child: fleets.Node,
+    child: distribution_harness.Node,
     candidates: tuple[str, ...],
     revision: int = 5,
     dial: dialling.Dial = dialling.dial,
@@ -140,9 +140,9 @@
     # The preferred parent is frozen: its kernel accepts the connection but
     # no Hello follows.  The child must give up on it and dial the next.
     monkeypatch.setattr(streams, 'HELLO_TIMEOUT_S', 0.2)
-    parent = fleets.Node('parent')
-    parent.hold(fleets.version(5, {'a': []}))
-    child = fleets.Node('child')
+    parent = distribution_harness.Node('parent')
+    parent.offer_version(distribution_harness.version(5, {'a': []}))
+    child = distribution_harness.Node('child')
     async with silent_listener() as frozen, serve_parent(parent) as good:
         assert await wait_for_version(child, (frozen, good)) == 5
 
@@ -151,14 +151,14 @@
     # When the channel of a stream is closed, grpc raises CancelledError in
     # the reader, like a cancellation of the daemon's own task.  The daemon
     # must dial again, or it would never receive another version.
-    parent = fleets.Node('parent')
-    parent.hold(fleets.version(5, {'a': []}))
-    child = fleets.Node('child')
+    parent = distribution_harness.Node('parent')
+    parent.offer_version(distribution_harness.version(5, {'a': []}))
+    child = distribution_harness.Node('child')
     closing: list[asyncio.Task[None]] = []
 
     async def close(channel: aio.Channel) -> None:
         await channel.close()
-        parent.hold(fleets.version(6, {'a': []}))
+        parent.offer_version(distribution_harness.version(6, {'a': []}))
 
     @contextlib.asynccontextmanager
     async def dial(address: str) -> AsyncIterator[aio.Channel]:
@@ -180,7 +180,7 @@
     # A stream ends, and while its tasks are cleaned up the uplink is
     # cancelled for a new plan.  The uplink task must end; it once kept
     # running, and a stopping daemon waited for it forever.
-    node = fleets.Node('here')
+    node = distribution_harness.Node('here')
     link = make_link(node)
 
     async def slow_to_end() -> control_pb2.Frame:
@@ -201,10 +201,10 @@
 
 
 async def test_uplink_leaves_full_parent_for_next_candidate() -> None:
-    full = fleets.Node('full')
-    parent = fleets.Node('parent')
-    parent.hold(fleets.version(5, {'a': []}))
-    child = fleets.Node('child')
+    full = distribution_harness.Node('full')
+    parent = distribution_harness.Node('parent')
+    parent.offer_version(distribution_harness.version(5, {'a': []}))
+    child = distribution_harness.Node('child')
     async with (
         serve_parent(full) as first,
         serve_parent(parent) as second,
@@ -219,7 +219,7 @@
 
 @pytest.mark.parametrize(
     ('held', 'revision'),
-    [(fleets.version(5, {'a': []}), 5), (None, 0)],
+    [(distribution_harness.version(5, {'a': []}), 5), (None, 0)],
     ids=['has-a-version', 'has-no-version'],
 )
 async def test_reconciliation_returns_the_revision_of_the_peer(
@@ -228,10 +228,10 @@
     # Many daemons restart while the platform is unavailable and query each
     # other.  A response from a peer without a version must not count as
     # the fleet's version, or they would serve without a configuration.
-    parent = fleets.Node('parent')
-    fresh = fleets.Node('fresh')
+    parent = distribution_harness.Node('parent')
+    fresh = distribution_harness.Node('fresh')
     if held is not None:
-        parent.hold(held)
+        parent.offer_version(held)
     reconciler = reconcile.Reconciler(
         fresh.replica, fresh.counts, 'z1', random.Random(1)
     )
@@ -243,7 +243,7 @@
 
 async def open_and_end_stream(address: str) -> None:
     """Open a stream to `address` and end it, whether accepted or refused."""
-    node = fleets.Node('guest')
+    node = distribution_harness.Node('guest')
     node.replica.clock = timers.TimerService(random.Random(1))
     ups = uplinks.UplinkManager(
         node.replica, node.table, node.counts, 'z1', random.Random(1)
@@ -266,20 +266,22 @@
 ) -> None:
     # A daemon's parent is suspected, dies or leaves the fleet.  The uplink
     # must move to another parent even if nobody closes the stream.
-    child = fleets.Node('child')
+    child = distribution_harness.Node('child')
     child.replica.clock = timers.TimerService(random.Random(1))
     ups = uplinks.UplinkManager(
         child.replica, child.table, child.counts, 'z1', random.Random(1)
     )
     ups.dial = never_connecting_dial
-    child.learn(fleets.member(f'host-{number}') for number in range(60))
-    child.learn([fleets.member('child')])
+    child.add_records(
+        distribution_harness.member(f'host-{number}') for number in range(60)
+    )
+    child.add_records([distribution_harness.member('child')])
     async with uplinks.holding(ups):
         await asyncio.sleep(0)
         before = ups.by_name['parent']
         parent = before.candidates[0]
         assert before.peer == parent
-        child.learn([fleets.member(parent, status=status)])
+        child.add_records([distribution_harness.member(parent, status=status)])
         ups.plan()
         after = ups.by_name['parent']
         if index is None:
@@ -342,7 +344,7 @@
     # Reads succeed while each watch ends at once or raises.  If the 22
     # relays retried without a pause, they would use up the store's quota
     # of 2,000 reads/s; if they stopped, they would miss new versions.
-    node = fleets.Node('relay')
+    node = distribution_harness.Node('relay')
     platform = FailingWatchStore(fails)
     source = sources.StoreWatcher(
         platform,  # type: ignore[arg-type]
@@ -374,7 +376,7 @@
 ) -> None:
     # Another client has overwritten the head, and an operator repairs it.
     # A relay that only polled the head would be seconds late.
-    node = fleets.Node('relay')
+    node = distribution_harness.Node('relay')
     platform = DamagedHeadStore(False)
     source = sources.StoreWatcher(
         platform,  # type: ignore[arg-type]
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -19,7 +19,7 @@
 from testing import conditions
 
 Script = Callable[
-    [callpath.Scripted, asyncio.StreamReader, asyncio.StreamWriter],
+    [callpath.ScriptedServer, asyncio.StreamReader, asyncio.StreamWriter],
     Awaitable[None],
 ]
 OK = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
@@ -29,7 +29,7 @@
     """Return a script that answers each request with `raw`."""
 
     async def script(
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -44,7 +44,7 @@
 
 
 async def closes_on_accept(
-    state: callpath.Scripted,
+    state: callpath.ScriptedServer,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
@@ -52,7 +52,7 @@
 
 
 async def never_answers(
-    state: callpath.Scripted,
+    state: callpath.ScriptedServer,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
@@ -63,10 +63,12 @@
 @contextlib.asynccontextmanager
 async def node_with_target(
     script: Script, service: str
-) -> AsyncIterator[tuple[callpath.Node, callpath.Scripted, callpath.Caller]]:
+) -> AsyncIterator[
+    tuple[callpath.Node, callpath.ScriptedServer, callpath.Caller]
+]:
     async with (
         callpath.node('h1') as node,
-        callpath.scripted(script) as target,
+        callpath.scripted_server(script) as target,
         callpath.caller(node.port) as caller,
     ):
         node.announce(service, target.port)
@@ -213,7 +215,7 @@
 ) -> None:
     async with node_with_target(script, service) as (node, target, caller):
         reply = await caller.ask(service, 'POST', '/', b'x')
-        assert (reply.status, reply.word) == (status, outcome)
+        assert (reply.status, reply.outcome) == (status, outcome)
         if body is not None:
             assert reply.body == body
         # The only target: there is none to retry at, so the request is
@@ -224,7 +226,7 @@
 
 async def test_connection_refused_withdraws_the_target() -> None:
     """A refused connection proves that nothing ran; no retry is needed."""
-    async with callpath.scripted(closes_on_accept) as gone:
+    async with callpath.scripted_server(closes_on_accept) as gone:
         pass
     async with (
         callpath.node('h1') as node,
@@ -232,7 +234,7 @@
     ):
         node.announce('write', gone.port)
         reply = await caller.ask('write', 'POST', '/', b'x')
-        assert (reply.status, reply.word) == (503, 'not-run')
+        assert (reply.status, reply.outcome) == (503, 'not-run')
         assert node.targets.by_name == {}
 
 
@@ -245,7 +247,7 @@
         reply = await caller.ask(
             'write', 'POST', '/', b'x', 'Peridot-Timeout-Ms: 100'
         )
-        assert (reply.status, reply.word) == (502, 'unknown')
+        assert (reply.status, reply.outcome) == (502, 'unknown')
         assert len(target.requests) == 1
         assert node.counts.totals['guard.deadline'] == 1
 
@@ -254,7 +256,7 @@
     """Return a script that answers one request and runs `last` on the next."""
 
     async def script(
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -301,7 +303,7 @@
     ):
         assert (await caller.ask(service, 'POST', '/', b'1')).body == b'ok'
         reply = await caller.ask(service, 'POST', '/', b'2')
-        assert reply.word == outcome
+        assert reply.outcome == outcome
         assert len(target.requests) == requests
 
 
@@ -317,7 +319,7 @@
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        state = callpath.Scripted()
+        state = callpath.ScriptedServer()
         await state.read_request(reader)
         writer.write(OK)
         await state.read_request(reader)
@@ -333,13 +335,13 @@
         node.announce(service, port)
         assert (await caller.ask(service, 'POST', '/', b'1')).body == b'ok'
         reply = await caller.ask(service, 'POST', '/', b'2')
-        assert (reply.status, reply.word) == (502, 'unknown')
+        assert (reply.status, reply.outcome) == (502, 'unknown')
         assert node.counts.totals['guard.crash-noted'] >= 1
         assert node.targets.by_name == {}
 
 
 async def closes_after_answer(
-    state: callpath.Scripted,
+    state: callpath.ScriptedServer,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
@@ -349,7 +351,7 @@
 
 
 async def answers_twice(
-    state: callpath.Scripted,
+    state: callpath.ScriptedServer,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
@@ -401,7 +403,7 @@
     max_open = 0
 
     async def script(
-        state: callpath.Scripted,
+        state: callpath.ScriptedServer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -418,7 +420,7 @@
 
     async with (
         callpath.node('h1') as node,
-        callpath.scripted(script) as target,
+        callpath.scripted_server(script) as target,
     ):
         node.announce(
             'write', target.port, slots=slots, connections=max_connections
@@ -426,7 +428,7 @@
 
         async def call() -> str:
             async with callpath.caller(node.port) as caller:
-                return (await caller.ask('write', 'POST', '/', b'x')).word
+                return (await caller.ask('write', 'POST', '/', b'x')).outcome
 
         outcomes = await asyncio.gather(*(call() for _ in range(50)))
         assert set(outcomes) == {'answered'}
@@ -442,7 +444,7 @@
     ):
         node.announce('write', target.port, state=members.TargetState.DRAINING)
         reply = await caller.ask('write', 'POST', '/', b'x')
-        assert reply.word == 'not-run'
+        assert reply.outcome == 'not-run'
         assert target.requests == []
 
 
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -10,13 +10,13 @@
 from peridotpost.decisions import versions
 from peridotpost.model import config
 from peridotpost.model import members
-from testing import fleets
+from testing import distribution_harness
 
-A = fleets.hosting('a')
-AC = fleets.hosting('a', 'c')
+A = distribution_harness.hosting_interest('a')
+AC = distribution_harness.hosting_interest('a', 'c')
 TEXT = {'a': ['b'], 'b': [], 'c': ['d'], 'd': []}
-OLD = fleets.version(3, TEXT)
-NEW = fleets.version(5, {**TEXT, 'a': ['d']})
+OLD = distribution_harness.version(3, TEXT)
+NEW = distribution_harness.version(5, {**TEXT, 'a': ['d']})
 APPLIED = versions.Verdict.APPLIED
 STALE = versions.Verdict.STALE
 NEED_WHOLE = versions.Verdict.NEED_WHOLE
@@ -133,15 +133,15 @@
     # flight to it.  The version is cut for the old scope and crosses the
     # greeting with the new one.  The daemon must end up with the services
     # of its new target, at the same revision.
-    parent = fleets.Node('parent')
-    child = fleets.Node('child', A)
-    parent.hold(OLD)
-    pipe = fleets.Pipe(child, parent)
-    fleets.run_until_quiet([pipe])
-    parent.hold(NEW)
+    parent = distribution_harness.Node('parent')
+    child = distribution_harness.Node('child', A)
+    parent.offer_version(OLD)
+    pipe = distribution_harness.Pipe(child, parent)
+    distribution_harness.run_until_idle([pipe])
+    parent.offer_version(NEW)
     pipe.send(1)
     child.replica.set_interest(AC)
-    fleets.run_until_quiet([pipe])
+    distribution_harness.run_until_idle([pipe])
     assert child.replica.holding == cut(NEW, AC)
 
 
@@ -150,32 +150,34 @@
     # the whole configuration, but until its own parent answers it holds only
     # the part for its targets, and a newer version of that part arrives
     # first.  A child that took the part for the whole would drop routes.
-    relay = fleets.Node('relay')
-    middle = fleets.Node('middle', A)
-    leaf = fleets.Node('leaf', AC)
-    relay.hold(OLD)
-    leaf.hold(OLD)
-    up = fleets.Pipe(middle, relay)
-    fleets.run_until_quiet([up])
-    relay.hold(NEW)
+    relay = distribution_harness.Node('relay')
+    middle = distribution_harness.Node('middle', A)
+    leaf = distribution_harness.Node('leaf', AC)
+    relay.offer_version(OLD)
+    leaf.offer_version(OLD)
+    up = distribution_harness.Pipe(middle, relay)
+    distribution_harness.run_until_idle([up])
+    relay.offer_version(NEW)
     up.send(1)
     middle.replica.set_interest(config.EVERYTHING)
     while up.deliver(1) is not None:
         pass
     assert middle.replica.version.revision == NEW.revision
-    down = fleets.Pipe(leaf, middle)
-    fleets.run_until_quiet([down])
+    down = distribution_harness.Pipe(leaf, middle)
+    distribution_harness.run_until_idle([down])
     assert leaf.replica.holding == cut(OLD, AC)
-    fleets.run_until_quiet([up, down])
+    distribution_harness.run_until_idle([up, down])
     assert leaf.replica.holding == cut(NEW, AC)
 
 
 def test_leaf_with_a_newer_version_does_not_push_its_part_upwards() -> None:
-    parent = fleets.Node('parent')
-    child = fleets.Node('child', A)
-    parent.hold(OLD)
-    child.hold(NEW)
-    fleets.run_until_quiet([fleets.Pipe(child, parent)])
+    parent = distribution_harness.Node('parent')
+    child = distribution_harness.Node('child', A)
+    parent.offer_version(OLD)
+    child.offer_version(NEW)
+    distribution_harness.run_until_idle(
+        [distribution_harness.Pipe(child, parent)]
+    )
     assert parent.replica.holding == cut(OLD, config.EVERYTHING)
     assert child.replica.holding == cut(NEW, A)
 
@@ -184,18 +186,20 @@
     # A peer reads nothing while 1,000 versions are accepted and a member
     # changes 1,000 times.  The data queued for it must not grow, and once
     # it reads it gets only the latest state.
-    parent = fleets.Node('parent')
-    child = fleets.Node('child')
-    parent.hold(OLD)
-    pipe = fleets.Pipe(child, parent)
-    fleets.run_until_quiet([pipe])
+    parent = distribution_harness.Node('parent')
+    child = distribution_harness.Node('child')
+    parent.offer_version(OLD)
+    pipe = distribution_harness.Pipe(child, parent)
+    distribution_harness.run_until_idle([pipe])
     for number in range(1000):
-        parent.hold(fleets.version(10 + number, TEXT))
-        parent.learn([fleets.member('busy', sequence=number)])
+        parent.offer_version(distribution_harness.version(10 + number, TEXT))
+        parent.add_records(
+            [distribution_harness.member('busy', sequence=number)]
+        )
     assert pipe.ends[1].dirty_hosts == {'busy'}
     pipe.send(1)
     assert len(pipe.waiting[1]) == 1
-    fleets.run_until_quiet([pipe])
+    distribution_harness.run_until_idle([pipe])
     assert child.replica.version.revision == 1009
     assert child.replica.fleet.records['busy'].sequence == 999
 
@@ -207,14 +211,16 @@
     # earlier live record from a third daemon and forwards it.  The first
     # must answer with the death, or calls would go to the dead member until
     # the next reconciliation.
-    knows = fleets.Node('knows')
-    other = fleets.Node('other')
-    knows.learn([fleets.member('gone', status=members.Status.DEAD)])
-    pipe = fleets.Pipe(other, knows)
-    fleets.run_until_quiet([pipe])
+    knows = distribution_harness.Node('knows')
+    other = distribution_harness.Node('other')
+    knows.add_records(
+        [distribution_harness.member('gone', status=members.Status.DEAD)]
+    )
+    pipe = distribution_harness.Pipe(other, knows)
+    distribution_harness.run_until_idle([pipe])
     assert 'gone' not in other.replica.fleet.records
-    other.learn([fleets.member('gone')])
-    fleets.run_until_quiet([pipe])
+    other.add_records([distribution_harness.member('gone')])
+    distribution_harness.run_until_idle([pipe])
     assert not other.replica.fleet.records['gone'].live
 
 
@@ -222,14 +228,16 @@
     # Hundreds of hosts are replaced each day.  A daemon that has forgotten
     # one connects to another that has not.  If it received the record again
     # it would pass it on in turn, and no daemon would ever forget it.
-    first = fleets.Node('first')
-    second = fleets.Node('second')
-    gone = fleets.member('gone', status=members.Status.LEFT)
-    first.learn([gone])
-    second.learn([gone, *fleets.many_members(200)])
+    first = distribution_harness.Node('first')
+    second = distribution_harness.Node('second')
+    gone = distribution_harness.member('gone', status=members.Status.LEFT)
+    first.add_records([gone])
+    second.add_records([gone, *distribution_harness.make_members(200)])
     first.clock.at += fleet.TOMBSTONE_S + 1
     assert first.replica.fleet.forget(first.clock.at) == ['gone']
-    fleets.run_until_quiet([fleets.Pipe(first, second)])
+    distribution_harness.run_until_idle(
+        [distribution_harness.Pipe(first, second)]
+    )
     assert 'gone' not in first.replica.fleet.records
 
 
@@ -247,16 +255,16 @@
     # Many children move to new parents, each knowing the whole fleet.
     # Greetings that list every member take 114 KB each way, and a parent's
     # budget is 7 KB/s.
-    records = fleets.many_members(5200)
-    parent = fleets.Node('parent')
-    child = fleets.Node('child')
-    parent.learn(records)
-    child.learn(records)
-    parent.learn(
+    records = distribution_harness.make_members(5200)
+    parent = distribution_harness.Node('parent')
+    child = distribution_harness.Node('child')
+    parent.add_records(records)
+    child.add_records(records)
+    parent.add_records(
         dataclasses.replace(one, sequence=2) for one in records[:changed]
     )
-    pipe = fleets.Pipe(child, parent)
-    fleets.run_until_quiet([pipe])
+    pipe = distribution_harness.Pipe(child, parent)
+    distribution_harness.run_until_idle([pipe])
     assert child.replica.fleet.sums == parent.replica.fleet.sums
     assert pipe.bytes_sent < bound
 
@@ -313,21 +321,24 @@
     # An operator asks one relay whether a version is in force everywhere.
     # Its report must show a daemon that lags, and each version must cost
     # one report per link, not one for every daemon below.
-    root = fleets.Node('root')
-    middles = [fleets.Node(f'middle-{n}') for n in range(4)]
-    pipes = [fleets.Pipe(one, root) for one in middles]
+    root = distribution_harness.Node('root')
+    middles = [distribution_harness.Node(f'middle-{n}') for n in range(4)]
+    pipes = [distribution_harness.Pipe(one, root) for one in middles]
     for number, middle in enumerate(middles):
-        leaves = [fleets.Node(f'leaf-{number}-{n}', A) for n in range(8)]
-        pipes += [fleets.Pipe(leaf, middle) for leaf in leaves]
-    root.hold(OLD)
-    fleets.run_until_quiet(pipes)
+        leaves = [
+            distribution_harness.Node(f'leaf-{number}-{n}', A)
+            for n in range(8)
+        ]
+        pipes += [distribution_harness.Pipe(leaf, middle) for leaf in leaves]
+    root.offer_version(OLD)
+    distribution_harness.run_until_idle(pipes)
     hosts = [root.host, *(pipe.nodes[0].host for pipe in pipes)]
     assert progress.in_force(OLD.revision, root.table.progress, hosts)
-    root.hold(NEW)
+    root.offer_version(NEW)
     for pipe in pipes[:-1]:
-        fleets.run_until_quiet([pipe])
+        distribution_harness.run_until_idle([pipe])
     assert root.table.progress.lowest_revision == OLD.revision
-    frames = fleets.run_until_quiet(pipes)
+    frames = distribution_harness.run_until_idle(pipes)
     assert progress.in_force(NEW.revision, root.table.progress, hosts)
     assert root.table.progress.daemons == 37
     assert frames <= 2 * len(pipes)
