--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -17,7 +17,7 @@
 
 from bench import documents
 from bench import fleets
-from bench import jsonout
+from bench import json_output
 from bench import stats
 from peridotpost.border import mesh_document as document_border
 from peridotpost.decisions import fleet as fleet_rules
@@ -354,7 +354,7 @@
 @click.option('--output', type=click.Path(path_type=pathlib.Path))
 def main(output: pathlib.Path | None) -> None:
     """Measure with 5,200 members and 150 services; write JSON."""
-    jsonout.write_result(measure(), output)
+    json_output.write_result(measure(), output)
 
 
 if __name__ == '__main__':
--- a/bench/convergence.py
+++ b/bench/convergence.py
@@ -15,7 +15,7 @@
 import click
 
 from bench import documents
-from bench import jsonout
+from bench import json_output
 from bench import meshes
 from bench import observed
 from bench import stats
@@ -294,7 +294,7 @@
     result = asyncio.run(
         measure(zones, hosts_per_zone, services, repetitions, seconds)
     )
-    jsonout.write_result(result, output)
+    json_output.write_result(result, output)
 
 
 if __name__ == '__main__':
--- a/bench/framing.py
+++ b/bench/framing.py
@@ -19,7 +19,7 @@
 import click
 
 from bench import fleets
-from bench import jsonout
+from bench import json_output
 from bench import stats
 from peridotpost.distribution import dialling
 from peridotpost.distribution import links
@@ -200,7 +200,7 @@
 @click.option('--output', type=click.Path(path_type=pathlib.Path))
 def main(output: pathlib.Path | None) -> None:
     """Measure the framing overhead; write JSON."""
-    jsonout.write_result(asyncio.run(measure()), output)
+    json_output.write_result(asyncio.run(measure()), output)
 
 
 if __name__ == '__main__':
--- a/bench/path.py
+++ b/bench/path.py
@@ -21,7 +21,7 @@
 
 import click
 
-from bench import jsonout
+from bench import json_output
 from bench import meshes
 from bench import stats
 from peridotpost.load import client
@@ -331,7 +331,7 @@
 ) -> None:
     """Measure the latency added to direct calls; write JSON."""
     result = asyncio.run(measure(rate, seconds, profile))
-    jsonout.write_result(result, output)
+    json_output.write_result(result, output)
 
 
 if __name__ == '__main__':
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -19,7 +19,7 @@
 
 from bench import convergence
 from bench import documents
-from bench import jsonout
+from bench import json_output
 from bench import meshes
 from bench import stats
 from peridotpost.cli import operator
@@ -227,7 +227,7 @@
 ) -> None:
     """Compare both kinds of distribution; write JSON."""
     result = asyncio.run(measure(hosts_per_zone, services, repetitions))
-    jsonout.write_result(result, output)
+    json_output.write_result(result, output)
 
 
 if __name__ == '__main__':
