--- a/bench/meshes.py
+++ b/bench/meshes.py
@@ -100,7 +100,7 @@
         If other meshes start on the same machine, they may take a port
         that was free when the plan was made; this needs a new plan.
         """
-        for name, process in self.processes.started.items():
+        for name, process in self.processes.processes.items():
             if process.poll() is not None:
                 log = self.processes.read_log(name)
                 raise RuntimeError(
@@ -181,8 +181,8 @@
             announce_task.cancel()
         bench.client.close()
         bench.store.close()
-        for process in mesh_processes.started.values():
+        for process in mesh_processes.processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
-        for process in mesh_processes.started.values():
+        for process in mesh_processes.processes.values():
             process.wait(processes.STOP_TIMEOUT_S)
--- a/bench/path.py
+++ b/bench/path.py
@@ -305,7 +305,7 @@
 ) -> dict[str, Any]:
     """Stop daemons, which then write their profiles; print the top rows."""
     for host in bench.plan.hosts[:3]:
-        process = bench.processes.started.pop(f'daemon-{host.host}')
+        process = bench.processes.processes.pop(f'daemon-{host.host}')
         process.send_signal(signal.SIGTERM)
         await asyncio.to_thread(
             functools.partial(process.wait, processes.STOP_TIMEOUT_S)
--- a/bench/proxy_path.py
+++ b/bench/proxy_path.py
@@ -126,9 +126,9 @@
             )
             result[f'idle_{name}_mb'] = round(now.resident / MB, 1)
         call_paths = (
-            ('direct', guard.spec.backend_address, hosts.TARGET),
-            ('same_host', guard.spec.address, hosts.REQUESTS),
-            ('across', ingress.spec.address, hosts.REQUESTS),
+            ('direct', guard.spec.backend_address, hosts.TARGET_PORT),
+            ('same_host', guard.spec.address, hosts.REQUESTS_PORT),
+            ('across', ingress.spec.address, hosts.REQUESTS_PORT),
         )
         for path_name, address, port in call_paths:
             result |= await _measure_path(
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -97,9 +97,9 @@
         yield watchers
     finally:
         watchers.store.close()
-        for process in mesh_processes.started.values():
+        for process in mesh_processes.processes.values():
             process.send_signal(signal.SIGKILL)
-        for process in mesh_processes.started.values():
+        for process in mesh_processes.processes.values():
             process.wait(processes.STOP_TIMEOUT_S)
 
 
--- a/testing/distribution_harness.py
+++ b/testing/distribution_harness.py
@@ -24,13 +24,13 @@
 
     def __init__(self) -> None:
         super().__init__(random.Random(1))
-        self.at = 1000.0
+        self.current_time = 1000.0
 
     def now(self) -> float:
-        return self.at
+        return self.current_time
 
     def wall(self) -> float:
-        return self.at
+        return self.current_time
 
 
 def service_spec(
@@ -150,7 +150,7 @@
             ),
             links.Link(child.host, parent.table, parent.counts),
         )
-        self.waiting: tuple[collections.deque[bytes], ...] = (
+        self.undelivered: tuple[collections.deque[bytes], ...] = (
             collections.deque(),
             collections.deque(),
         )
@@ -168,14 +168,14 @@
         for frame in links.pending_frames(self.ends[side]):
             data = frame.SerializeToString()
             self.bytes_sent += len(data)
-            self.waiting[side].append(data)
+            self.undelivered[side].append(data)
 
     def deliver(self, side: int) -> control_pb2.Frame | None:
         """Deliver the oldest queued frame from `side`, if there is one."""
-        if not self.waiting[side]:
+        if not self.undelivered[side]:
             return None
         frame = control_pb2.Frame()
-        frame.ParseFromString(self.waiting[side].popleft())
+        frame.ParseFromString(self.undelivered[side].popleft())
         self.ends[1 - side].handle_frame(frame)
         return frame
 
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -35,12 +35,12 @@
 
     plan: mesh.MeshPlan
     directory: pathlib.Path
-    started: dict[str, subprocess.Popen[bytes]]
+    processes: dict[str, subprocess.Popen[bytes]]
 
     def start(self, name: str, *arguments: str) -> None:
         """Start a program; its output is appended to ``<name>.log``."""
         with open(self.directory / f'{name}.log', 'ab') as log:
-            self.started[name] = subprocess.Popen(
+            self.processes[name] = subprocess.Popen(
                 [sys.executable, '-m', *arguments], stdout=log, stderr=log
             )
 
@@ -70,21 +70,23 @@
         )
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        os.kill(self.started[name].pid, number)
+        os.kill(self.processes[name].pid, number)
 
     def stop(self, name: str) -> int:
         """Terminate a program by SIGTERM and return its exit code."""
         self.signal(name, signal.SIGTERM)
-        return self.started.pop(name).wait(STOP_TIMEOUT_S)
+        return self.processes.pop(name).wait(STOP_TIMEOUT_S)
 
     def kill(self, name: str) -> None:
         self.signal(name, signal.SIGKILL)
-        self.started.pop(name).wait(STOP_TIMEOUT_S)
+        self.processes.pop(name).wait(STOP_TIMEOUT_S)
 
     def read_log(self, name: str) -> str:
         return (self.directory / f'{name}.log').read_text()
 
-    def control(self, *arguments: str) -> subprocess.CompletedProcess[str]:
+    def run_peridotctl(
+        self, *arguments: str
+    ) -> subprocess.CompletedProcess[str]:
         """Run ``peridotctl``."""
         return subprocess.run(
             [sys.executable, '-m', 'peridotpost.cli.peridotctl', *arguments],
@@ -98,7 +100,7 @@
         """Accept `text` as the configuration; return its revision."""
         file = self.directory / 'text.yaml'
         file.write_text(text)
-        result = self.control(
+        result = self.run_peridotctl(
             'accept',
             str(file),
             '--mesh',
@@ -176,7 +178,7 @@
             time.sleep(POLL_INTERVAL_S)
         logs = '\n'.join(
             f'--- {name}\n{self.read_log(name)[-1500:]}'
-            for name in self.started
+            for name in self.processes
         )
         raise WaitTimeoutError(
             f'timed out waiting until {description}\n{logs}'
@@ -256,8 +258,8 @@
                 running_mesh.start_target(host)
         yield running_mesh
     finally:
-        for process in running_mesh.started.values():
+        for process in running_mesh.processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
-        for process in running_mesh.started.values():
+        for process in running_mesh.processes.values():
             process.wait(STOP_TIMEOUT_S)
--- a/testing/proxies.py
+++ b/testing/proxies.py
@@ -135,11 +135,11 @@
         }
         instance = changes.pop('instance', self.worker.instance)
         heartbeat |= changes
-        return await self.tell(
+        return await self.send_rpc(
             'instances.heartbeat', instance, json.dumps(heartbeat).encode()
         )
 
-    async def tell(self, call: str, instance: str, body: bytes) -> int:
+    async def send_rpc(self, call: str, instance: str, body: bytes) -> int:
         ip, port = border.split_address(self.settings.listen.announcements)
         reader, writer = await asyncio.open_connection(ip, port)
         caller = Caller(reader, writer)
@@ -212,7 +212,7 @@
         await self.exit_stack.enter_async_context(proxy.running())
         return Host(name, address, settings, proxy, worker)
 
-    async def ready(self, service: str = 'register') -> None:
+    async def wait_ready(self, service: str = 'register') -> None:
         """Wait until every proxy routes to every announced target."""
         hosts = list(self.hosts.values())
         expected = sum(
@@ -299,7 +299,9 @@
 
 
 @contextlib.asynccontextmanager
-async def full(logs: pathlib.Path | None = None) -> AsyncIterator[Host]:
+async def saturated_host(
+    logs: pathlib.Path | None = None,
+) -> AsyncIterator[Host]:
     """Run one host whose target has one slot, occupied by a request.
 
     :param logs: directory of the log files.
@@ -309,7 +311,7 @@
         await mesh.kv.configure(config())
         host = await mesh.add('a', slots=1)
         await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         async with host.caller() as blocking_caller:
             blocking_caller.send('/read/hold', attempt='holds')
             await host.worker.run_started.wait()
@@ -327,5 +329,5 @@
         second = await mesh.add('b')
         await first.announce()
         await second.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         yield mesh, first, second
--- a/testing/soak/callers.py
+++ b/testing/soak/callers.py
@@ -62,7 +62,7 @@
             try:
                 connection = await asyncio.open_connection(
                     self.host.address,
-                    hosts.REQUESTS,
+                    hosts.REQUESTS_PORT,
                     local_addr=(self.host.address, 0),
                 )
             except OSError:
--- a/testing/soak/hosts.py
+++ b/testing/soak/hosts.py
@@ -15,10 +15,10 @@
 from testing.soak import relay
 from testing.soak import worker_program
 
-REQUESTS, READINESS_PORT, ANNOUNCEMENTS_PORT, PEERS_PORT, METRICS_PORT = range(
-    20_001, 20_006
+REQUESTS_PORT, READINESS_PORT, ANNOUNCEMENTS_PORT, PEERS_PORT, METRICS_PORT = (
+    range(20_001, 20_006)
 )
-STORE_PORT, TARGET = 20_010, 20_020
+STORE_PORT, TARGET_PORT = 20_010, 20_020
 CLOCK_OFFSET_VARIABLE = 'SOAK_CLOCK_OFFSET_S'
 CLOCK_SHIM_FOLDER = pathlib.Path(__file__).parent / 'clock'
 """Holds a ``sitecustomize`` module that shifts a process's wall clock."""
@@ -100,8 +100,8 @@
         options = {
             'instance': self.instance,
             'service': spec.service,
-            'bind': f'{spec.backend_address}:{TARGET}',
-            'announced': f'{spec.address}:{TARGET}',
+            'bind': f'{spec.backend_address}:{TARGET_PORT}',
+            'announced': f'{spec.address}:{TARGET_PORT}',
             'beside': f'{spec.address}:{ANNOUNCEMENTS_PORT}',
             'notes': str(self.notes_path),
         }
@@ -168,7 +168,7 @@
     def _write_settings(self) -> pathlib.Path:
         spec = self.spec
         listen = {
-            'requests': f'{spec.address}:{REQUESTS}',
+            'requests': f'{spec.address}:{REQUESTS_PORT}',
             'readiness': f'{spec.address}:{READINESS_PORT}',
             'announcements': f'{spec.address}:{ANNOUNCEMENTS_PORT}',
             'peers': f'{spec.backend_address}:{PEERS_PORT}',
@@ -179,7 +179,7 @@
             'availability_zone': spec.zone,
             'address': spec.address,
             'service': spec.service,
-            'target': f'{spec.address}:{TARGET}',
+            'target': f'{spec.address}:{TARGET_PORT}',
             'listen': listen,
             'store': f'{spec.backend_address}:{STORE_PORT}',
             'shutdown': {'grace_s': SHUTDOWN_GRACE_S},
@@ -235,7 +235,12 @@
             int(store_port),
         ),
         'peers': (spec.address, PEERS_PORT, spec.backend_address, PEERS_PORT),
-        'target': (spec.address, TARGET, spec.backend_address, TARGET),
+        'target': (
+            spec.address,
+            TARGET_PORT,
+            spec.backend_address,
+            TARGET_PORT,
+        ),
     }
     async with contextlib.AsyncExitStack() as stack:
         for name in relay_endpoints:
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -125,7 +125,7 @@
     messages to each of sixteen children.
     """
     # Long enough that a stall of a busy machine does not split the batch.
-    monkeypatch.setattr(streams, 'GATHER_S', 1.0)
+    monkeypatch.setattr(streams, 'BATCH_DELAY_S', 1.0)
     parent = fleets.make_full_node('parent', LEAF_INTEREST, 20)
     parent.replica.clock = timers.TimerService(random.Random(1))
     link = links.Link('child', parent.table, parent.counts)
--- a/testing/test_call_costs.py
+++ b/testing/test_call_costs.py
@@ -88,7 +88,7 @@
             hosts.append(await mesh.add('b'))
         for host in hosts:
             await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         async with first.caller() as caller:
             # Opens the connection to the target.
             assert (await caller.ask('/read/ok')).status == 200
--- a/testing/test_caller_contract.py
+++ b/testing/test_caller_contract.py
@@ -434,7 +434,7 @@
     A body over the total limit is rejected with Retry-After.  Buffered bytes
     are released when the caller has its answer or disconnects.
     """
-    monkeypatch.setattr(requests, 'MAX_HELD_BYTES', 1500)
+    monkeypatch.setattr(requests, 'MAX_BUFFERED_BYTES', 1500)
     async with node_with_target() as (node, target):
         async with (
             callpath.caller(node.port) as first,
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -318,7 +318,7 @@
     for answer in ended:
         assert answer.status == 200, answer.body
         assert json.loads(answer.body)['path'] == '/long'
-    process = one.started.pop(f'{leaving}-{leaving_host.host}')
+    process = one.processes.pop(f'{leaving}-{leaving_host.host}')
     assert process.wait(processes.STOP_TIMEOUT_S) == 0
     if leaving == 'daemon':
         wait_all_see(one, list(others), leaving_host.host, 'left')
--- a/testing/test_once_faults.py
+++ b/testing/test_once_faults.py
@@ -64,7 +64,7 @@
         return answer
 
     def run_counts(self) -> Iterator[tuple[str, dict[str, object]]]:
-        for name in self.mesh.started:
+        for name in self.mesh.processes:
             if name.startswith('target-'):
                 found = re.search(
                     r'listening on (\d+)', self.mesh.read_log(name)
--- a/testing/test_poison.py
+++ b/testing/test_poison.py
@@ -137,7 +137,7 @@
     running = [
         host
         for host in one.plan.hosts
-        if one.started[f'target-{host.host}'].poll() is None
+        if one.processes[f'target-{host.host}'].poll() is None
     ]
     assert len(running) >= 2
     for host in one.plan.hosts:
--- a/testing/test_proxy_bodies.py
+++ b/testing/test_proxy_bodies.py
@@ -40,7 +40,7 @@
     far = await mesh.add('b', slots=slots)
     await near.announce()
     await far.announce()
-    await mesh.ready()
+    await mesh.wait_ready()
     return near
 
 
--- a/testing/test_proxy_callers.py
+++ b/testing/test_proxy_callers.py
@@ -126,7 +126,7 @@
 
 
 async def test_a_refusal_when_full_says_when_to_come_back() -> None:
-    async with proxies.full() as host:
+    async with proxies.saturated_host() as host:
         host.proxy.guard.queue.times.mean_s = 10.0
         refused = await host.ask('/read/ok', attempt='h2')
         assert refused.status == 503
@@ -142,7 +142,7 @@
         await mesh.kv.configure(text)
         host = await mesh.add('a')
         await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         assert (await host.ask('/read/hold')).status == 504
         await conditions.until(lambda: bool(host.worker.dropped))
 
@@ -154,7 +154,7 @@
         far = await mesh.add('b', zone='hel-b', service='vault')
         await near.announce()
         await far.announce()
-        await mesh.ready('vault')
+        await mesh.wait_ready('vault')
         answer = await near.ask('/other/ok', method='POST', body=b'y' * 5000)
         assert answer.status == 200
         (run,) = far.worker.runs
@@ -182,7 +182,7 @@
         await mesh.kv.configure(proxies.config())
         host = await mesh.add('a')
         await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         async with host.caller() as one, host.caller() as other:
             one.send('/read/hold', attempt='repeats')
             other.send('/read/hold', attempt='first')
--- a/testing/test_proxy_leaving.py
+++ b/testing/test_proxy_leaving.py
@@ -99,7 +99,7 @@
         first = await mesh.add('a')
         second = await mesh.add('b')
         await first.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         held = [
             asyncio.ensure_future(
                 first.ask('/write/hold', method='POST', attempt=f'h{number}')
@@ -111,7 +111,7 @@
             lambda: len(first.worker.runs) == 4 and len(queue.waiting) == 6
         )
         await second.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         assert await first.announce(state='draining') == 200
         assert not queue.waiting
         await conditions.until(lambda: len(second.worker.runs) == 4)
@@ -129,7 +129,9 @@
 
 async def test_a_target_that_leaves_unannounced_gets_nothing_more() -> None:
     async with proxies.pair() as (_, first, second):
-        status = await first.tell('instances.leave', 'i-a', b'{"born":1000}')
+        status = await first.send_rpc(
+            'instances.leave', 'i-a', b'{"born":1000}'
+        )
         assert status == 200
         for number in range(5):
             answer = await second.ask('/read/ok', attempt=f'l{number}')
@@ -163,7 +165,7 @@
 async def test_spoiled_announcement_names_no_target(body: bytes) -> None:
     async with proxies.pair() as (_, first, _second):
         before = first.proxy.guard.status()
-        status = await first.tell('instances.heartbeat', 'i-x', body)
+        status = await first.send_rpc('instances.heartbeat', 'i-x', body)
         assert status == 400
         assert first.proxy.guard.status() == before
 
@@ -175,10 +177,10 @@
 
     At the stop it has a request of a caller and one from another proxy.
     """
-    monkeypatch.setattr('peridotpost.mesh.daemon.GUARD_STOPS_S', 0.0)
-    monkeypatch.setattr('peridotpost.mesh.daemon.OUT_OF_ROTATION_S', 0.0)
+    monkeypatch.setattr('peridotpost.mesh.daemon.GUARD_STOP_DELAY_S', 0.0)
+    monkeypatch.setattr('peridotpost.mesh.daemon.LISTEN_STOP_DELAY_S', 0.0)
     async with proxies.pair() as (_, first, second):
-        await second.tell('instances.leave', 'i-b', b'')
+        await second.send_rpc('instances.leave', 'i-b', b'')
         await conditions.until(
             lambda: not second.proxy.directory.own_candidate.ready
         )
@@ -205,8 +207,8 @@
     and new connections, and the last ones that it accepted are aborted when it
     is killed.
     """
-    monkeypatch.setattr('peridotpost.mesh.daemon.GUARD_STOPS_S', 0.0)
-    monkeypatch.setattr('peridotpost.mesh.daemon.OUT_OF_ROTATION_S', 0.0)
+    monkeypatch.setattr('peridotpost.mesh.daemon.GUARD_STOP_DELAY_S', 0.0)
+    monkeypatch.setattr('peridotpost.mesh.daemon.LISTEN_STOP_DELAY_S', 0.0)
     async with proxies.pair() as (_, first, _second):
         held = asyncio.ensure_future(first.ask('/read/hold'))
         await conditions.until(lambda: first.proxy.requests.busy == 1)
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -24,7 +24,7 @@
         mesh.kv.status = 0
         await mesh.kv.configure(proxies.config())
         await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         assert (await host.ask('/read/ok')).status == 200
 
 
@@ -165,9 +165,13 @@
 @pytest.fixture
 def read_all_the_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Hosts with slow links read the store at each check, every 10 ms."""
-    monkeypatch.setattr('peridotpost.decisions.following.HEARD_S', 0.0)
-    monkeypatch.setattr('peridotpost.decisions.following.READ_EVERY_S', 0.0)
-    monkeypatch.setattr('peridotpost.decisions.following.BEAT_S', 0.01)
+    monkeypatch.setattr(
+        'peridotpost.decisions.following.FOLLOWER_TIMEOUT_S', 0.0
+    )
+    monkeypatch.setattr(
+        'peridotpost.decisions.following.MIN_READ_INTERVAL_S', 0.0
+    )
+    monkeypatch.setattr('peridotpost.decisions.following.HEARTBEAT_S', 0.01)
 
 
 async def test_a_slow_link_reads_the_store_when_no_neighbour_does(
@@ -193,7 +197,9 @@
     host that follows the store and then read it over their slow links, while
     other zones already have the configuration.
     """
-    monkeypatch.setattr('peridotpost.decisions.following.HEARD_S', 3600.0)
+    monkeypatch.setattr(
+        'peridotpost.decisions.following.FOLLOWER_TIMEOUT_S', 3600.0
+    )
     monkeypatch.setattr(
         'peridotpost.mesh.versions.OTHER_ZONE_FETCH_DELAY_S', 3600.0
     )
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -78,7 +78,7 @@
         await mesh.kv.configure(proxies.config(limits=limits))
         host = await mesh.add('a')
         await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         async with host.caller() as caller:
             for attempt in bodies:
                 early = await caller.ask(
@@ -153,7 +153,7 @@
         await mesh.kv.configure(proxies.config())
         host = await mesh.add('a', slots=2)
         await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         asked = [
             asyncio.ensure_future(host.ask('/read/hold', attempt=f'h{number}'))
             for number in range(6)
@@ -173,7 +173,7 @@
     can't be retried.  The guard knows that it has not run and refuses it
     before the deadline.
     """
-    async with proxies.full() as host:
+    async with proxies.saturated_host() as host:
         answer = await host.ask(
             '/write/ok',
             method='POST',
@@ -230,7 +230,7 @@
         hosts = [await mesh.add(name) for name in 'abcd']
         for host in hosts:
             await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         for number in range(6):
             answer = await hosts[0].ask('/read/crash', attempt=f'c{number}')
             assert answer.status in (502, 503, 504)
@@ -272,7 +272,7 @@
     """
     async with proxies.pair() as (mesh, first, _second):
         observer = await mesh.add('c', service='vault')
-        await mesh.ready()
+        await mesh.wait_ready()
         for number in range(8):
             await first.ask(
                 '/write/reset', method='POST', attempt=f'w{number}'
--- a/testing/test_releases.py
+++ b/testing/test_releases.py
@@ -40,11 +40,11 @@
         for name in ('a', 'b'):
             host = await mesh.add(name, slots=20)
             await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         for name in ('c', 'd'):
             host = await mesh.add(name, slots=20)
             await host.announce(version='v2')
-        await mesh.ready()
+        await mesh.wait_ready()
         yield mesh
 
 
@@ -215,7 +215,7 @@
         await has_status(mesh, 'completed v2')
         done = mesh.kv.items[STATUS].revision
         for name in ('a', 'b'):
-            await mesh.hosts[name].tell(
+            await mesh.hosts[name].send_rpc(
                 'instances.leave', mesh.hosts[name].worker.instance, b''
             )
         await order(mesh)
--- a/testing/test_releasesplit.py
+++ b/testing/test_releasesplit.py
@@ -19,7 +19,7 @@
     order: release.ReleaseOrder = ORDER,
     **given: object,
 ) -> release.ReleaseState:
-    fields = {'focus': '', 'elapsed_s': 0.0, 'coordinator': 'c'} | given
+    fields = {'canary_host': '', 'elapsed_s': 0.0, 'coordinator': 'c'} | given
     return release.ReleaseState(
         order,
         epoch,
@@ -113,7 +113,7 @@
 def test_the_focus_gets_the_canary_share() -> None:
     split = releasesplit.ReleaseSplit()
     known = [*KNOWN, target('d', 'v2')]
-    split.offer(state(focus='d'), 0.0)
+    split.offer(state(canary_host='d'), 0.0)
     assert hosts(split, new=True, known=known) == 'd'
     split.offer(state(number=2), 0.0)
     assert hosts(split, new=True, known=known) == 'cd'
@@ -194,7 +194,7 @@
     second = release.ReleaseOrder('bonds', 'v3', 12.0, 20)
     banned = split.banned(second)
     assert banned == ('v2',)
-    split.offer(state(order=second, banned=banned), 0.0)
+    split.offer(state(order=second, rejected_versions=banned), 0.0)
     assert hosts(split, known=[*KNOWN, target('e', 'v3')]) == 'ab'
     assert split.refuses_new_work('bonds', 'v2')
     again = release.ReleaseOrder('bonds', 'v2', 12.0, 30)
--- a/testing/test_replicas_machine.py
+++ b/testing/test_replicas_machine.py
@@ -127,7 +127,7 @@
 
     @stateful.rule(child=children, side=sides)
     def repeat(self, child: str, side: int) -> None:
-        waiting = self.pipes[child].waiting[side]
+        waiting = self.pipes[child].undelivered[side]
         if waiting:
             waiting.append(waiting[0])
 
@@ -137,7 +137,7 @@
     def damage_next(self, child: str, side: int, damage_kind: str) -> None:
         """Damage and deliver the next pending configuration, if any."""
         self.pipes[child].send(side)
-        waiting = self.pipes[child].waiting[side]
+        waiting = self.pipes[child].undelivered[side]
         frame = control_pb2.Frame()
         for position, data in enumerate(waiting):
             frame.ParseFromString(data)
--- a/testing/test_reports.py
+++ b/testing/test_reports.py
@@ -21,7 +21,7 @@
 
 async def refuse_request(logs: pathlib.Path) -> int:
     """Have a request refused by a full target; return the status code."""
-    async with proxies.full(logs) as host:
+    async with proxies.saturated_host(logs) as host:
         short = {'X_Deadline_Remaining_Ms': '40'}
         answer = await host.ask('/read/ok', attempt='late', **short)
     return answer.status
@@ -35,7 +35,7 @@
         first = await mesh.add('a')
         await mesh.add('b', service='vault')
         await first.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         caller = mesh.hosts['b']
         answer = await caller.ask(
             '/write/reset', method='POST', attempt='gone', body=b'x'
--- a/testing/test_returning.py
+++ b/testing/test_returning.py
@@ -127,7 +127,7 @@
         await running_mesh.kv.configure(text)
         host = await running_mesh.add('a')
         await host.announce()
-        await running_mesh.ready()
+        await running_mesh.wait_ready()
         statuses = [
             (await host.ask('/read/ok', attempt=f'a{number}')).status
             for number in range(4)
@@ -143,13 +143,13 @@
     async with proxies.running() as running_mesh:
         await running_mesh.kv.configure(proxies.config())
         host = await running_mesh.add('a', slots=1)
-        await running_mesh.ready()
+        await running_mesh.wait_ready()
         assert (await host.ask('/read/hold', attempt='a1')).status == 503
         (first_attempt,) = (
             host.proxy.forwarder.history.refused.by_fingerprint.values()
         )
         await host.announce()
-        await running_mesh.ready()
+        await running_mesh.wait_ready()
         again = asyncio.ensure_future(host.ask('/read/hold', attempt='a2'))
         await conditions.until(lambda: len(host.worker.runs) == 1)
         (order,) = host.proxy.guard.running
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -37,7 +37,7 @@
     one = running_mesh(mesh_text, hosts_per_zone=3, targets=False)
     one.wait_ready()
     revision = one.accept_config(mesh_text)
-    done = one.control(
+    done = one.run_peridotctl(
         'rollout',
         '--daemon',
         one.plan.hosts[0].admin,
--- a/testing/test_settings.py
+++ b/testing/test_settings.py
@@ -53,7 +53,10 @@
             id='unknown',
         ),
         pytest.param(
-            '{"host": "h", "host": "i"}', 'host', 'duplicate key', id='duplicate'
+            '{"host": "h", "host": "i"}',
+            'host',
+            'duplicate key',
+            id='duplicate',
         ),
     ],
 )  # fmt: skip
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -479,7 +479,7 @@
     The kernel completes the connection meanwhile.  When the process
     resumes, the expired timer must not make the connect fail.
     """
-    monkeypatch.setattr(connections, 'CONNECT_S', 1e-6)
+    monkeypatch.setattr(connections, 'CONNECT_TIMEOUT_S', 1e-6)
     pool = connections.ConnectionPool(counters.Counters())
     with socket.create_server(('127.0.0.1', 0)) as listening:
         port = listening.getsockname()[1]
--- a/testing/test_text.py
+++ b/testing/test_text.py
@@ -82,7 +82,10 @@
             id='alias',
         ),
         pytest.param(
-            VALID + '#' * mesh_document.MAX_TEXT_BYTES, 0, '', 'over the limit',
+            VALID + '#' * mesh_document.MAX_TEXT_BYTES,
+            0,
+            '',
+            'over the limit',
             id='too-large',
         ),
     ],
--- a/testing/test_urgency.py
+++ b/testing/test_urgency.py
@@ -18,7 +18,7 @@
         await mesh.kv.configure(proxies.config())
         host = await mesh.add('a', slots=1)
         await host.announce()
-        await mesh.ready()
+        await mesh.wait_ready()
         waiting = host.proxy.guard.queue.waiting
         requests = [asyncio.ensure_future(host.ask('/read/hold', attempt='h'))]
         await conditions.until(lambda: len(host.worker.runs) == 1)
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -198,7 +198,7 @@
         )
     assert pipe.ends[1].dirty_hosts == {'busy'}
     pipe.send(1)
-    assert len(pipe.waiting[1]) == 1
+    assert len(pipe.undelivered[1]) == 1
     distribution_harness.run_until_idle([pipe])
     assert child.replica.version.revision == 1009
     assert child.replica.fleet.records['busy'].sequence == 999
@@ -233,8 +233,8 @@
     gone = distribution_harness.member('gone', status=members.Status.LEFT)
     first.add_records([gone])
     second.add_records([gone, *distribution_harness.make_members(200)])
-    first.clock.at += fleet.TOMBSTONE_S + 1
-    assert first.replica.fleet.forget(first.clock.at) == ['gone']
+    first.clock.current_time += fleet.TOMBSTONE_S + 1
+    assert first.replica.fleet.forget(first.clock.current_time) == ['gone']
     distribution_harness.run_until_idle(
         [distribution_harness.Pipe(first, second)]
     )
