--- a/src/peridotpost/decisions/admission.py
+++ b/src/peridotpost/decisions/admission.py
@@ -68,13 +68,14 @@
     """Running and queued requests of one work class.
 
     :param service_s: moving average of the time that a request holds a slot.
-    :param busy_since: time since which the queue has not been empty.
+    :param last_arrival_at: time of the latest arrival of the class.
+    :param queued_since: time since which the queue has not been empty.
     """
 
     service_s: float = INITIAL_SERVICE_S
     running: int = 0
-    last_seen: float = -math.inf
-    busy_since: float | None = None
+    last_arrival_at: float = -math.inf
+    queued_since: float | None = None
     queue: fairness.FairQueue = dataclasses.field(
         default_factory=fairness.FairQueue
     )
@@ -99,9 +100,10 @@
         }
         self.states = tuple(self.classes.values())
         self.shares = fairness.FairShares()
-        # Refused callers that are expected to retry, at the time `owed_at`.
-        self.owed = 0.0
-        self.owed_at = 0.0
+        # Refused callers that are expected to retry, as of
+        # `expected_retries_at`.
+        self.expected_retries = 0.0
+        self.expected_retries_at = 0.0
 
     @property
     def running(self) -> int:
@@ -123,7 +125,7 @@
         A request that the result names neither started nor refused is queued.
         """
         state = self.classes[ticket.work_class]
-        state.last_seen = now
+        state.last_arrival_at = now
         refused = self._remove_expired(now)
         if not self._may_run(state, ticket, now):
             return Decision((), (*refused, ticket))
@@ -133,8 +135,8 @@
         overloaded = self.overloaded(ticket.work_class, now)
         if not self._can_wait(ticket, overloaded, now):
             return Decision((), (*refused, ticket))
-        if state.busy_since is None:
-            state.busy_since = now
+        if state.queued_since is None:
+            state.queued_since = now
         state.queue.push(ticket)
         refused += self._trim(state, overloaded)
         return Decision(self._start_waiting(now), refused)
@@ -157,29 +159,31 @@
     def overloaded(self, work_class: config.WorkClass, now: float) -> bool:
         """Whether the class has a standing queue, as opposed to a burst."""
         state = self.classes[work_class]
-        if state.busy_since is None:
+        if state.queued_since is None:
             return False
         threshold_s = max(
             OVERLOAD_AFTER_S, OVERLOAD_SERVICE_TIMES * state.service_s
         )
-        return now - state.busy_since > threshold_s
+        return now - state.queued_since > threshold_s
 
     def retry_after_ms(self, now: float) -> int:
         """Return the time until a caller refused now is likely to get a slot.
 
         The caller counts as one that will retry.
         """
-        rate = max(1, self.slots) / self._mean_service_s()
-        elapsed_s = now - self.owed_at
-        self.owed = max(0.0, self.owed - elapsed_s * rate) + 1
-        self.owed_at = now
-        seconds = (self.waiting + self.owed) / rate
+        rate_per_s = max(1, self.slots) / self._mean_service_s()
+        elapsed_s = now - self.expected_retries_at
+        self.expected_retries = (
+            max(0.0, self.expected_retries - elapsed_s * rate_per_s) + 1
+        )
+        self.expected_retries_at = now
+        seconds = (self.waiting + self.expected_retries) / rate_per_s
         seconds *= 1 + RETRY_AFTER_JITTER * self.randomness.random()
         ms = max(MIN_RETRY_AFTER_MS, round(seconds * 1000))
         return min(MAX_RETRY_AFTER_MS, ms)
 
     def _mean_service_s(self) -> float:
-        """Return the mean service time, weighted by requests of a class."""
+        """Return the mean service time, weighted by each class's requests."""
         weights = [
             (max(state.running + state.queue.size, 0), state.service_s)
             for state in self.classes.values()
@@ -252,7 +256,7 @@
     def _reset_if_empty(self) -> None:
         for state in self.states:
             if not state.queue.size:
-                state.busy_since = None
+                state.queued_since = None
         if not self.waiting:
             self.shares.reset()
 
@@ -294,7 +298,7 @@
         if work_class is SHORT:
             return True
         short_active = (
-            now - self.classes[SHORT].last_seen < SHORT_ACTIVITY_WINDOW_S
+            now - self.classes[SHORT].last_arrival_at < SHORT_ACTIVITY_WINDOW_S
         )
         limit = self.slots - (self._reserved_slots() if short_active else 0)
         return self.classes[LONG].running < max(1, limit)
--- a/src/peridotpost/decisions/attempts.py
+++ b/src/peridotpost/decisions/attempts.py
@@ -51,10 +51,10 @@
 
     :param arrivals: dispatches that reached a target.
     :param runs: dispatches that a target ran or may have run.
-    :param lost: why an answer was lost; empty if none was.
-    :param failed: a target's answer that reports a failure.
-    :param repeat: how the next target counts the request: as a first arrival
-        or as a kind of retry.
+    :param lost_detail: why an answer was lost; empty if none was.
+    :param failure_answer: a target's answer that reports a failure.
+    :param retry_cause: how the next target counts the request: as a first
+        arrival or as a kind of retry.
     """
 
     idempotent: bool
--- a/src/peridotpost/decisions/budget.py
+++ b/src/peridotpost/decisions/budget.py
@@ -36,15 +36,16 @@
     """Counts of one slice of the window.
 
     :param first_arrivals: requests that are not retries.
-    :param repeats: retries, including the inherited share of first arrivals.
-    :param failed: retries after an answer that reported a failure.
+    :param retries: retries, including the inherited share of first arrivals.
+    :param retries_after_failure: retries after an answer that reported a
+        failure.
     :param targets: largest known number of targets of the service.
     """
 
     number: int
     first_arrivals: int = 0
-    repeats: float = 0.0
-    failed: int = 0
+    retries: float = 0.0
+    retries_after_failure: int = 0
     targets: int = 1
 
 
@@ -62,44 +63,51 @@
         self.slices: collections.deque[WindowSlice] = collections.deque()
 
     def admits(
-        self, repeat: forwarding.RetryCause, targets: int, now: float
+        self, retry_cause: forwarding.RetryCause, targets: int, now: float
     ) -> bool:
         """Whether a request may be sent to the target now.
 
         :param targets: number of known targets of the service.
         """
-        if repeat is forwarding.RetryCause.NONE:
+        if retry_cause is forwarding.RetryCause.NONE:
             return True
         current = self._current_slice(now)
         # A partitioned host sees few targets; its part must not grow by that.
         current.targets = max(current.targets, targets)
-        first_arrivals = sum(item.first_arrivals for item in self.slices)
-        most_targets = max(item.targets for item in self.slices)
+        first_arrivals = sum(one.first_arrivals for one in self.slices)
+        most_targets = max(one.targets for one in self.slices)
         allowed = self.ratio * first_arrivals + self.extra / most_targets
-        if repeat is forwarding.RetryCause.AFTER_FAILURE:
-            failed = sum(item.failed for item in self.slices)
-            if failed + 1 > FAILURE_RETRY_SHARE * allowed:
+        if retry_cause is forwarding.RetryCause.AFTER_FAILURE:
+            after_failure = sum(
+                one.retries_after_failure for one in self.slices
+            )
+            if after_failure + 1 > FAILURE_RETRY_SHARE * allowed:
                 return False
         return (
-            sum(item.repeats for item in self.slices) + 1
+            sum(one.retries for one in self.slices) + 1
             <= GUARD_SHARE * allowed
         )
 
     def sent(
-        self, repeat: forwarding.RetryCause, inherited: float, now: float
+        self,
+        retry_cause: forwarding.RetryCause,
+        inherited_weight: float,
+        now: float,
     ) -> None:
         """Count a request that is sent to the target.
 
-        :param inherited: share of a retry that a first arrival counts as,
-            0 to 1.
+        :param inherited_weight: share of a retry that a first arrival counts
+            as, 0 to 1.
         """
         current = self._current_slice(now)
-        if repeat is forwarding.RetryCause.NONE:
+        if retry_cause is forwarding.RetryCause.NONE:
             current.first_arrivals += 1
-            current.repeats += inherited
+            current.retries += inherited_weight
             return
-        current.repeats += 1
-        current.failed += repeat is forwarding.RetryCause.AFTER_FAILURE
+        current.retries += 1
+        current.retries_after_failure += (
+            retry_cause is forwarding.RetryCause.AFTER_FAILURE
+        )
 
     def _current_slice(self, now: float) -> WindowSlice:
         number = int(now / self.slice_s)
--- a/src/peridotpost/decisions/ejection.py
+++ b/src/peridotpost/decisions/ejection.py
@@ -14,7 +14,7 @@
   turn into an overload.
 - After a pause, which doubles with each consecutive ejection, one trial call
   is let through; its outcome decides.
-- When ``ZONE_UNREACHABLE_HOSTS`` hosts of another availability zone were
+- When ``ZONE_UNREACHABLE_HOSTS`` hosts of a remote availability zone were
   unreachable and none was reached in between, the whole zone gets no calls:
   each call into a partitioned zone costs its caller a connection timeout.
 
@@ -100,9 +100,9 @@
 
 @dataclasses.dataclass(slots=True)
 class ZoneRecord:
-    """Unreachable hosts of a zone since one was last reached."""
+    """A remote zone's hosts found unreachable since one was last reached."""
 
-    lost: set[str] = dataclasses.field(default_factory=set)
+    unreachable_hosts: set[str] = dataclasses.field(default_factory=set)
     ejected_until: float = 0.0
     ejections: int = 0
     ejected_at: float = 0.0
@@ -151,7 +151,7 @@
             record.consecutive_losses + 1 if lost else 0
         )
         if record.ejected:
-            self._end_trial(record, good, now)
+            self._note_while_ejected(record, good, now)
         elif self._should_eject(record, others):
             self._eject(record, now)
         elif good and record.failure_rate < 0.01:
@@ -209,9 +209,11 @@
         record.ejected_until = now + pause_s * jitter
         record.trial_since = None
 
-    def _end_trial(self, record: TargetRecord, good: bool, now: float) -> None:
+    def _note_while_ejected(
+        self, record: TargetRecord, good: bool, now: float
+    ) -> None:
         if not good:
-            # Calls in flight at the time of the ejection may end earlier.
+            # An earlier failure is of a call sent before the ejection.
             if now >= record.ejected_until:
                 self._eject(record, now)
             return
@@ -231,9 +233,9 @@
             self.zones.pop(zone, None)
             return
         record = self.zones.setdefault(zone, ZoneRecord())
-        record.lost.add(target.host)
+        record.unreachable_hosts.add(target.host)
         if (
-            len(record.lost) >= ZONE_UNREACHABLE_HOSTS
+            len(record.unreachable_hosts) >= ZONE_UNREACHABLE_HOSTS
             and now >= record.ejected_until
         ):
             pause_s = min(
--- a/src/peridotpost/decisions/failures.py
+++ b/src/peridotpost/decisions/failures.py
@@ -11,13 +11,14 @@
 EWMA_WEIGHT = 1 / 8
 HALF_LIFE_S = 3.0
 NEGLIGIBLE_RATE = 0.01
+"""A rate below this counts as 0."""
 
 
 @dataclasses.dataclass(slots=True)
 class FailureRate:
     """A decaying moving average of failures, 0 to 1.
 
-    :param share: the rate at the time `at`, in seconds.
+    :param rate: the rate at the time `at`, in seconds.
     """
 
     rate: float = 0.0
@@ -28,9 +29,9 @@
         decayed = self.value(now)
         self.report(decayed + EWMA_WEIGHT * (float(failed) - decayed), now)
 
-    def report(self, share: float, now: float) -> None:
+    def report(self, rate: float, now: float) -> None:
         """Replace the rate by one that was measured elsewhere."""
-        self.rate = share
+        self.rate = rate
         self.at = now
 
     def value(self, now: float) -> float:
--- a/src/peridotpost/decisions/fairness.py
+++ b/src/peridotpost/decisions/fairness.py
@@ -94,12 +94,12 @@
 
     def __init__(self) -> None:
         self.by_caller: dict[str, list[Ticket]] = {}
-        self.keys: collections.Counter[str] = collections.Counter()
+        self.count_by_key: collections.Counter[str] = collections.Counter()
         self.size = 0
 
     def push(self, ticket: Ticket) -> None:
         self.by_caller.setdefault(ticket.caller, []).append(ticket)
-        self.keys[ticket.key] += 1
+        self.count_by_key[ticket.key] += 1
         self.size += 1
 
     def remove(self, ticket: Ticket) -> bool:
@@ -110,9 +110,9 @@
         flow.remove(ticket)
         if not flow:
             del self.by_caller[ticket.caller]
-        self.keys[ticket.key] -= 1
-        if not self.keys[ticket.key]:
-            del self.keys[ticket.key]
+        self.count_by_key[ticket.key] -= 1
+        if not self.count_by_key[ticket.key]:
+            del self.count_by_key[ticket.key]
         self.size -= 1
         return True
 
@@ -176,7 +176,7 @@
         if not self.size:
             return None
         flows = self.by_caller
-        key, count = max(self.keys.items(), key=operator.itemgetter(1))
+        key, count = max(self.count_by_key.items(), key=operator.itemgetter(1))
         if self.size / 2 < count < self.size:
             flows = {
                 caller: [ticket for ticket in flow if ticket.key == key]
--- a/src/peridotpost/decisions/following.py
+++ b/src/peridotpost/decisions/following.py
@@ -53,7 +53,7 @@
     last_heard_by_host: dict[str, float] = dataclasses.field(
         default_factory=dict
     )
-    read_at: float = 0.0
+    last_read_at: float = 0.0
     store_reachable: bool | None = None
     store_back_at: float = 0.0
     peer_read_at: float = -FOLLOWER_TIMEOUT_S
@@ -82,6 +82,7 @@
             self.last_heard_by_host.pop(host, None)
             and not self.last_heard_by_host
         ):
+            # No follower is left to wait for: the next read may be at once.
             self.start = -FOLLOWER_TIMEOUT_S
 
     def note_peer_read(self, now: float) -> None:
@@ -101,15 +102,15 @@
         """
         if self.store_reachable is False:
             return False
-        heard_at = max(
+        awaited_since = max(
             self.start, self.store_back_at, *self.last_heard_by_host.values()
         )
         if (
-            now - heard_at < FOLLOWER_TIMEOUT_S
-            or now - self.read_at < MIN_READ_INTERVAL_S
+            now - awaited_since < FOLLOWER_TIMEOUT_S
+            or now - self.last_read_at < MIN_READ_INTERVAL_S
         ):
             return False
         if now - self.peer_read_at < PEER_READ_WAIT_S:
             return False
-        self.read_at = now
+        self.last_read_at = now
         return True
--- a/src/peridotpost/decisions/idempotency.py
+++ b/src/peridotpost/decisions/idempotency.py
@@ -80,6 +80,7 @@
 ) -> Key:
     """Return a new key, timestamped `now_ms`, with an optional owner."""
     value = (now_ms << 80) | randomness.getrandbits(80)
+    # The version (7) and variant fields of RFC 9562.
     value = value & ~(0xF << 76) | (7 << 76)
     value = value & ~(0b11 << 62) | (0b10 << 62)
     suffix = f'@{zone}/{host}' if host else f'@{zone}' if zone else ''
--- a/src/peridotpost/decisions/incarnations.py
+++ b/src/peridotpost/decisions/incarnations.py
@@ -17,7 +17,10 @@
 
 
 class InstanceTracker:
-    """The state of this host's target, from its announcements."""
+    """The state of this host's target, from its announcements.
+
+    :param ended: start time of the latest ended incarnation, in ms, by id.
+    """
 
     def __init__(self) -> None:
         self.current: instances.Announcement | None = None
@@ -37,19 +40,19 @@
             self._record_end(announcement.instance, announcement.started_ms)
         return current is None or _differs(announcement, current)
 
-    def leave(self, instance: str, born_ms: int) -> bool:
+    def leave(self, instance: str, started_ms: int) -> bool:
         """Record that `instance` left; return whether it was the current."""
-        self._record_end(instance, born_ms)
+        self._record_end(instance, started_ms)
         current = self.current
         if current is None or current.instance != instance:
             return False
-        if current.started_ms > born_ms:
+        if current.started_ms > started_ms:
             return False
         self.current = None
         return True
 
-    def _record_end(self, instance: str, born_ms: int) -> None:
-        self.ended[instance] = max(born_ms, self.ended.get(instance, 0))
+    def _record_end(self, instance: str, started_ms: int) -> None:
+        self.ended[instance] = max(started_ms, self.ended.get(instance, 0))
         while len(self.ended) > MAX_ENDED_INSTANCES:
             del self.ended[next(iter(self.ended))]
 
--- a/src/peridotpost/decisions/loadbalancing.py
+++ b/src/peridotpost/decisions/loadbalancing.py
@@ -35,7 +35,8 @@
 time with forty daemons and one slow target: 0.95 at 0.5 s, 0.980 at 2 s, 0.984
 at 4 s, 0.92 without reports."""
 RECORD_TTL_S = 60.0
-FULL = 1.0
+FULL_LOAD = 1.0
+"""Load from which a target is assumed to have no free slot."""
 
 
 def target_key(endpoint: routing.Endpoint) -> str:
@@ -52,12 +53,16 @@
 
 
 class LoadTracker:
-    """Load of the targets as known to one daemon."""
+    """Load of the targets as known to one daemon.
+
+    :param outstanding: calls of this daemon in flight, by target.
+    :param last_cold_at: when each target was last seen cold.
+    """
 
     def __init__(self) -> None:
         self.outstanding: dict[str, int] = {}
         self.reports: dict[str, LoadReport] = {}
-        self.cold_until: dict[str, float] = {}
+        self.last_cold_at: dict[str, float] = {}
 
     def sent(self, key: str) -> None:
         self.outstanding[key] = self.outstanding.get(key, 0) + 1
@@ -76,14 +81,16 @@
     def load(self, endpoint: routing.Endpoint, now: float) -> float:
         """Return the target's load as a share of its present capacity."""
         key = target_key(endpoint)
-        share = self._capacity_share(endpoint, key, now)
-        local = self.outstanding.get(key, 0) / max(1.0, endpoint.slots * share)
+        capacity_share = self._capacity_share(endpoint, key, now)
+        local = self.outstanding.get(key, 0) / max(
+            1.0, endpoint.slots * capacity_share
+        )
         report = self.reports.get(key)
         if report is None:
             return local
         age_s = max(0.0, now - report.at)
         decay: float = 0.5 ** (age_s / REPORT_HALF_LIFE_S)
-        return max(local, report.load * decay / share)
+        return max(local, report.load * decay / capacity_share)
 
     def forget(self, now: float) -> None:
         """Drop expired reports and warm-up times."""
@@ -92,27 +99,27 @@
             for key, report in self.reports.items()
             if now - report.at < RECORD_TTL_S
         }
-        self.cold_until = {
-            key: until
-            for key, until in self.cold_until.items()
-            if now - until < RECORD_TTL_S
+        self.last_cold_at = {
+            key: cold_at
+            for key, cold_at in self.last_cold_at.items()
+            if now - cold_at < RECORD_TTL_S
         }
 
     def _capacity_share(
         self, endpoint: routing.Endpoint, key: str, now: float
     ) -> float:
         if endpoint.cold:
-            self.cold_until[key] = now
+            self.last_cold_at[key] = now
             return COLD_CAPACITY_SHARE
-        since = self.cold_until.get(key)
-        if since is None:
+        cold_at = self.last_cold_at.get(key)
+        if cold_at is None:
             return 1.0
-        if now - since >= WARM_UP_S:
-            del self.cold_until[key]
+        if now - cold_at >= WARM_UP_S:
+            del self.last_cold_at[key]
             return 1.0
         return (
             COLD_CAPACITY_SHARE
-            + (1 - COLD_CAPACITY_SHARE) * (now - since) / WARM_UP_S
+            + (1 - COLD_CAPACITY_SHARE) * (now - cold_at) / WARM_UP_S
         )
 
 
@@ -138,7 +145,7 @@
             endpoint
         )
     best = _better_of_two(local, loads, now, randomness)
-    if best is not None and (not remote or loads.load(best, now) < FULL):
+    if best is not None and (not remote or loads.load(best, now) < FULL_LOAD):
         return best
     best_remote = _better_of_two(remote, loads, now, randomness)
     if best is None or best_remote is None:
--- a/src/peridotpost/decisions/logbudget.py
+++ b/src/peridotpost/decisions/logbudget.py
@@ -24,7 +24,10 @@
 
 
 class LinePriority(enum.Enum):
-    """Kinds of lines; the value is how full the bucket must be for one."""
+    """Kinds of lines.
+
+    The value is the share of the bucket that must be full to write one.
+    """
 
     OUTCOME = 0.0
     STEP = 0.5
@@ -38,7 +41,7 @@
         self.filled_at = 0.0
         self.next_served_at = 0.0
 
-    def try_take(self, weight: LinePriority, now: float) -> bool:
+    def try_take(self, priority: LinePriority, now: float) -> bool:
         """Take a token for a line; return whether it may be written.
 
         :param now: seconds of a clock that may jump; a step back adds no
@@ -47,7 +50,7 @@
         refilled = self.tokens + max(0.0, now - self.filled_at) * LINES_PER_S
         self.tokens = min(BURST_LINES, refilled)
         self.filled_at = now
-        if self.tokens < max(1.0, weight.value * BURST_LINES):
+        if self.tokens < max(1.0, priority.value * BURST_LINES):
             return False
         self.tokens -= 1.0
         return True
--- a/src/peridotpost/decisions/observer.py
+++ b/src/peridotpost/decisions/observer.py
@@ -85,7 +85,7 @@
             # side, and suspects cannot reach this observer to refute.
             self.suspicions.restart(now)
             return Verdict.ISOLATED
-        expired = self.suspicions.is_due(record.host, now)
+        expired = self.suspicions.has_expired(record.host, now)
         self.suspicions.record_silence(record, now)
         if record.status is members.Status.ALIVE:
             return Verdict.SUSPECTED
--- a/src/peridotpost/decisions/ownership.py
+++ b/src/peridotpost/decisions/ownership.py
@@ -18,10 +18,11 @@
 `max_accepted_ahead_ms`.  This does not apply to a process whose
 incarnation is in the span, since it is the first owner of the span.
 
-A host's failure makes the plain keys that it owns up to the horizon
-`unknown`.  With a lead of an hour and 12 failures a day among 5,200 hosts,
-this affects 12 x 3600 / (86,400 x 5,200) = 0.01% of plain keys.  The lead
-is also the length of a store outage during which plain keys are served.
+After a host's failure, the outcome of all keys without a suffix that it owns
+up to the horizon is unknown.  With a lead of an hour and 12 failures a day
+among 5,200 hosts, this affects 12 x 3600 / (86,400 x 5,200) = 0.01% of these
+keys.  The lead is also the length of a store outage during which they are
+served.
 """
 
 import bisect
@@ -34,6 +35,7 @@
 from peridotpost.decisions import tree
 
 OPEN_END_MS = 1 << 50
+"""End of a span that has not ended, later than any timestamp."""
 MIN_LEAD_MS = 5_000
 RETENTION_MS = 3_600_000
 """Older spans are dropped: no ledger covers an earlier time."""
@@ -197,29 +199,29 @@
 
 def is_consistent(old: Schedule, new: Schedule) -> bool:
     """Whether both name the same owners where their ranges overlap."""
-    low = max(old.floor_ms, new.floor_ms)
-    high = min(old.horizon_ms, new.horizon_ms)
-    return low >= high or _clipped_spans(old, low, high) == _clipped_spans(
-        new, low, high
-    )
+    low_ms = max(old.floor_ms, new.floor_ms)
+    high_ms = min(old.horizon_ms, new.horizon_ms)
+    return low_ms >= high_ms or _clipped_spans(
+        old, low_ms, high_ms
+    ) == _clipped_spans(new, low_ms, high_ms)
 
 
 _ClippedSpan = tuple[str, str, int, int, int]
 
 
 def _clipped_spans(
-    schedule: Schedule, low: int, high: int
+    schedule: Schedule, low_ms: int, high_ms: int
 ) -> set[_ClippedSpan]:
     return {
         (
             one.host,
             one.zone,
             one.incarnation,
-            max(low, one.since_ms),
-            min(high, one.until_ms),
+            max(low_ms, one.since_ms),
+            min(high_ms, one.until_ms),
         )
         for one in schedule.spans
-        if one.since_ms < high and one.until_ms > low
+        if one.since_ms < high_ms and one.until_ms > low_ms
     }
 
 
--- a/src/peridotpost/decisions/pacing.py
+++ b/src/peridotpost/decisions/pacing.py
@@ -18,6 +18,7 @@
 MAX_DELAY_S = 5.0
 JOINS_PER_S = 40
 JOIN_BURST = 16
+"""Rate and burst of ``JoinLimiter``, which gives the reasons."""
 MAX_RETRY_AFTER_S = 15.0
 """A daemon without a parent is updated only by reconciliation, about every
 10 s; if it had to wait much longer, any other parent would serve it better."""
@@ -40,11 +41,11 @@
 
     def next_delay(self) -> float:
         """Count a failure; return the seconds to wait before the next try."""
-        bound = min(
+        bound_s = min(
             self.max_delay_s, self.base_delay_s * 2 ** min(self.failures, 16)
         )
         self.failures += 1
-        return self.randomness.uniform(0, bound)
+        return self.randomness.uniform(0, bound_s)
 
     def reset(self) -> None:
         self.failures = 0
@@ -63,27 +64,31 @@
     Each refused child gets a later slot than the one before.  If all were
     given the same time, a wave of 400 would return as 400 within the time
     of one token, again and again.
+
+    :param last_slot_at: the latest retry time given to a refused child.
     """
 
     updated_at: float
-    rate: float = JOINS_PER_S
+    rate_per_s: float = JOINS_PER_S
     burst: float = JOIN_BURST
     tokens: float = JOIN_BURST
-    slot: float = 0.0
+    last_slot_at: float = 0.0
 
     def admit(self, now: float) -> float:
         """Return 0 to admit, else the seconds after which to retry."""
-        refill = (now - self.updated_at) * self.rate
+        refill = (now - self.updated_at) * self.rate_per_s
         self.tokens = min(self.burst, self.tokens + refill)
         self.updated_at = now
         if self.tokens >= 1:
             self.tokens -= 1
             return 0.0
-        earliest = now + (1 - self.tokens) / self.rate
-        self.slot = max(self.slot + 1 / self.rate, earliest)
-        if self.slot > now + MAX_RETRY_AFTER_S:
-            self.slot = earliest
-        return self.slot - now
+        next_token_at = now + (1 - self.tokens) / self.rate_per_s
+        self.last_slot_at = max(
+            self.last_slot_at + 1 / self.rate_per_s, next_token_at
+        )
+        if self.last_slot_at > now + MAX_RETRY_AFTER_S:
+            self.last_slot_at = next_token_at
+        return self.last_slot_at - now
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/peridotpost/decisions/peerqueries.py
+++ b/src/peridotpost/decisions/peerqueries.py
@@ -11,7 +11,7 @@
 - Up to ``MAX_SAME_ZONE_PEERS`` peers of the own zone are asked.  The hosts
   of a zone know much the same members; what one of them lacks arrives
   through the others.
-- A peer of another zone is asked only if the own zone has none, and only
+- A peer of a remote zone is asked only if the own zone has none, and only
   one of them.
 
 With three peers two answers may be lost; three answers of 6 KB take 0.06 s
@@ -29,7 +29,7 @@
 class PeerCandidate:
     """A peer that can be asked for the member list.
 
-    :param other_zone: it is in another availability zone.
+    :param in_remote_zone: it is in a remote availability zone.
     :param asked: it has already been asked on its current stream.
     """
 
--- a/src/peridotpost/decisions/poison.py
+++ b/src/peridotpost/decisions/poison.py
@@ -65,11 +65,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """The crashes attributed to one request."""
+    """The crashes attributed to one request.
 
-    crashed: set[str] = dataclasses.field(default_factory=set)
+    :param crash_ids: target and incident of each crash.
+    """
+
+    crash_ids: set[str] = dataclasses.field(default_factory=set)
     crashes: int = 0
-    last: float = 0.0
+    last_crash_at: float = 0.0
     refused_until: float = 0.0
 
 
@@ -90,15 +93,15 @@
         """
         for name in names:
             suspect = self.suspects.get(name)
-            if suspect is None or now - suspect.last > CRASH_MEMORY_S:
+            if suspect is None or now - suspect.last_crash_at > CRASH_MEMORY_S:
                 self._evict_oldest()
                 suspect = self.suspects[name] = Suspect()
-            event = f'{target}#{incident}'
-            if event in suspect.crashed:
+            crash_id = f'{target}#{incident}'
+            if crash_id in suspect.crash_ids:
                 continue
-            suspect.crashed.add(event)
+            suspect.crash_ids.add(crash_id)
             suspect.crashes += 1
-            suspect.last = now
+            suspect.last_crash_at = now
             excess = suspect.crashes - MAX_CRASHES
             if excess >= 0:
                 refusal_s = min(
@@ -131,7 +134,10 @@
     def refusal_remaining_by_names_s(
         self, names: Iterable[str], now: float
     ) -> float:
-        """Return the same for the request with the identifiers `names`."""
+        """Return the seconds for which the request `names` is refused.
+
+        :param names: the identifiers of the request.
+        """
         longest = 0.0
         for name in names:
             suspect = self.suspects.get(name)
@@ -145,10 +151,13 @@
             name: suspect
             for name, suspect in self.suspects.items()
             if now < suspect.refused_until
-            or now - suspect.last <= CRASH_MEMORY_S
+            or now - suspect.last_crash_at <= CRASH_MEMORY_S
         }
 
     def _evict_oldest(self) -> None:
         while len(self.suspects) >= MAX_SUSPECTS:
-            oldest = min(self.suspects, key=lambda it: self.suspects[it].last)
+            oldest = min(
+                self.suspects,
+                key=lambda name: self.suspects[name].last_crash_at,
+            )
             del self.suspects[oldest]
--- a/src/peridotpost/decisions/releaseplan.py
+++ b/src/peridotpost/decisions/releaseplan.py
@@ -35,6 +35,7 @@
 DRAIN_ALLOWANCE_S = 2.0
 """Time reserved before the deadline for runs of the old version to end."""
 MIN_CANARY_S = 3.0
+"""Also the time in which a new coordinator connects to all targets."""
 MIN_NEW_RUNS = 30
 """Runs of the new version that are needed before its share grows."""
 FOCUS_INTERVAL_S = 1.0
@@ -91,8 +92,12 @@
     @property
     def shift_at(self) -> float:
         """When the shift begins unless the version is found to be bad."""
-        needed_s = len(SHIFT_SHARES) * SHIFT_STEP_S + DRAIN_ALLOWANCE_S
-        return max(self.started + MIN_CANARY_S, self.deadline - needed_s)
+        remaining_stages_s = (
+            len(SHIFT_SHARES) * SHIFT_STEP_S + DRAIN_ALLOWANCE_S
+        )
+        return max(
+            self.started + MIN_CANARY_S, self.deadline - remaining_stages_s
+        )
 
     def step(self, view: FleetView, now: float) -> None:
         """Evaluate the new version and advance to the next stage if due.
--- a/src/peridotpost/decisions/releasesplit.py
+++ b/src/peridotpost/decisions/releasesplit.py
@@ -37,14 +37,14 @@
 class _Release:
     """A release as known to this daemon.
 
-    :param heard: when the coordinator's last update arrived.
-    :param started: when the order was given, by this process's clock.
+    :param last_update_at: when the coordinator's last update arrived.
+    :param started_at: when the order was given, by this process's clock.
     :param credit: number of requests that may go to the new version.
     """
 
     state: release.ReleaseState
-    heard: float
-    started: float
+    last_update_at: float
+    started_at: float
     credit: float = 0.0
 
 
@@ -68,15 +68,15 @@
             or before is None
             or before.order != state.order
         ):
-            started = now - state.elapsed_s
-            self.releases[service] = _Release(state, now, started)
+            started_at = now - state.elapsed_s
+            self.releases[service] = _Release(state, now, started_at)
             return True
         known_release.state = state
-        known_release.heard = now
+        known_release.last_update_at = now
         return True
 
     def banned(self, order: release.ReleaseOrder) -> tuple[str, ...]:
-        """Return the versions that get no requests under a new order.
+        """Return the `rejected_versions` of a new order's states.
 
         A version that was rolled back, or whose release did not complete,
         must not get the old version's share.
@@ -95,7 +95,9 @@
 
     def last_update_at(self, service: str) -> float:
         known_release = self.releases.get(service)
-        return known_release.heard if known_release is not None else 0.0
+        return (
+            known_release.last_update_at if known_release is not None else 0.0
+        )
 
     def spend_canary_credit(self, service: str, now: float) -> bool:
         """Whether the next request goes to the new version; spends credit."""
@@ -106,7 +108,7 @@
             return True
         if (
             known_release.credit < 1
-            or now - known_release.heard > UPDATE_TIMEOUT_S
+            or now - known_release.last_update_at > UPDATE_TIMEOUT_S
         ):
             return False
         known_release.credit -= 1
@@ -119,6 +121,7 @@
             return
         if version != known_release.state.order.version:
             share = min(0.99, known_release.state.share)
+            # The share is capped because 1 would earn infinite credit.
             earned = share / (1 - share)
             known_release.credit = min(
                 MAX_CREDIT, known_release.credit + earned
@@ -181,12 +184,12 @@
             for candidate in candidates
             if candidate.version == version
         ]
-        focused = [
+        canary_targets = [
             candidate
             for candidate in new_targets
             if candidate.host == state.canary_host
         ]
-        return focused or new_targets
+        return canary_targets or new_targets
 
     def _targets_of_first_version(
         self,
@@ -194,21 +197,27 @@
         candidates: Collection[targetstate.Candidate],
         now: float,
     ) -> list[targetstate.Candidate]:
-        first = self.first_version_by_service.get(service)
+        first_version = self.first_version_by_service.get(service)
         targets = [
-            candidate for candidate in candidates if candidate.version == first
+            candidate
+            for candidate in candidates
+            if candidate.version == first_version
         ]
         if any(candidate.ready for candidate in targets):
             return targets
         ready = [candidate for candidate in candidates if candidate.ready]
         if not ready:
             return targets
-        first = _most_common_version(ready)
+        first_version = _most_common_version(ready)
         if self.started is None:
             self.started = now
         if now - self.started >= DISCOVERY_S:
-            self.first_version_by_service[service] = first
-        return [candidate for candidate in ready if candidate.version == first]
+            self.first_version_by_service[service] = first_version
+        return [
+            candidate
+            for candidate in ready
+            if candidate.version == first_version
+        ]
 
 
 def _most_common_version(ready: Collection[targetstate.Candidate]) -> str:
--- a/src/peridotpost/decisions/seeds.py
+++ b/src/peridotpost/decisions/seeds.py
@@ -27,6 +27,7 @@
 
 SEEDS_PER_ZONE = 8
 INITIAL_READS = 6
+"""Number of first renewals, each of which reads all records."""
 RENEWALS_PER_READ = 6
 """Renewals between two reads of all records by a daemon that keeps one.
 
@@ -55,8 +56,8 @@
     def next_delay(self) -> float:
         """Return the seconds to wait after one more failed read."""
         self.failures += 1
-        spreads = min(MAX_SPREAD_FACTOR, 2**self.failures)
-        return self.randomness.uniform(0, spreads * self.spread_s)
+        factor = min(MAX_SPREAD_FACTOR, 2**self.failures)
+        return self.randomness.uniform(0, factor * self.spread_s)
 
 
 def should_read_all(renewals: int) -> bool:
@@ -68,14 +69,17 @@
 
 
 def should_keep_record(
-    host: str, zone: str, known: Collection[str], stored: Collection[str]
+    host: str,
+    zone: str,
+    known_hosts: Collection[str],
+    stored_hosts: Collection[str],
 ) -> bool:
     """Whether `host` should keep a bootstrap record.
 
-    :param known: live hosts of the zone that `host` knows.
-    :param stored: hosts that have a record in the store.
+    :param known_hosts: live hosts of the zone that `host` knows.
+    :param stored_hosts: hosts that have a record in the store.
     """
-    if not set(known) - {host}:
-        return host in stored or len(stored) < SEEDS_PER_ZONE
-    candidates = {host, *known}
+    if not set(known_hosts) - {host}:
+        return host in stored_hosts or len(stored_hosts) < SEEDS_PER_ZONE
+    candidates = {host, *known_hosts}
     return host in tree.seed_hosts(zone, candidates, SEEDS_PER_ZONE)
--- a/src/peridotpost/decisions/selection.py
+++ b/src/peridotpost/decisions/selection.py
@@ -12,10 +12,10 @@
   at fast targets while free slots of slower ones would answer in time.
 - The own zone is used while one of its targets has a free slot and costs less
   than ``OWN_ZONE_SHARE`` of the remaining objective.
-- Otherwise another zone is used if a target there has a free slot and costs
+- Otherwise a remote zone is used if a target there has a free slot and costs
   less than ``WORTH_CROSSING`` times the best of the own zone.  The zones'
   shares of a service's slots differ from their shares of its requests.
-- After a refusal, targets of other zones are tried only if they are likely to
+- After a refusal, targets of remote zones are tried only if they are likely to
   have a free slot: when all are full, each attempt costs cross-zone traffic
   and finds nothing.  The cheapest target of all zones is then tried once more
   (``last_resort``).
@@ -40,10 +40,12 @@
 FULL = 0.9
 """Load from which a target is assumed to have no free slot."""
 MAX_COMPARED = 8
+"""Targets whose costs are computed for one selection."""
 WEIGHT_EXPONENT = 3
-"""Weight is cost to the power of minus this: a target that takes twice as long
-is drawn an eighth as often."""
+"""A target is drawn with the weight ``cost ** -WEIGHT_EXPONENT``: one that
+takes twice as long is drawn an eighth as often."""
 TRIAL_INTERVAL = 50
+"""Selections per trial of a failing target."""
 FAILURE_COST_S = 0.5
 """Time that a failed idempotent request costs its caller."""
 WRITE_FAILURE_OBJECTIVES = 3.0
--- a/src/peridotpost/decisions/slots.py
+++ b/src/peridotpost/decisions/slots.py
@@ -79,7 +79,7 @@
         self.running = 0
         self.running_work_s = 0.0
         self.waiting: list[QueueEntry] = []
-        self.arrivals = 0
+        self.last_number = 0
         self.times = runtimes.RunTimes()
         self.shares = slotshare.SlotShares()
         self.objective_by_route: dict[str, float] = {}
@@ -143,12 +143,12 @@
 
     def fill(self, now: float) -> Decision:
         """Start queued requests while slots are free."""
-        verdict = Decision([], [])
+        decision = Decision([], [])
         while self.waiting and self.running < self.slots:
             entry = self.waiting.pop(0)
             if not entry.order.settled:
-                self._dispatch(entry, now, verdict)
-        return verdict
+                self._dispatch(entry, now, decision)
+        return decision
 
     def latest_start(self, order: forwarding.Order) -> float:
         """Return the time after which a queued order misses its deadline."""
@@ -177,19 +177,19 @@
         )
 
     def _dispatch(
-        self, entry: QueueEntry, now: float, verdict: Decision
+        self, entry: QueueEntry, now: float, decision: Decision
     ) -> None:
         """Start the head of the queue, requeue it as late, or refuse it."""
         order = entry.order
         if now + self._min_run_s(order) > order.deadline:
-            verdict.refused.append(order)
+            decision.refused.append(order)
         elif entry.late or self._ends_in_time(order, now):
             self._start(order, now, entry.late)
-            verdict.started.append(order)
+            decision.started.append(order)
         elif self._accepts_late(order, now):
             self._wait(order, late=True)
         else:
-            verdict.refused.append(order)
+            decision.refused.append(order)
 
     def _start(self, order: forwarding.Order, now: float, late: bool) -> None:
         order.started = now
@@ -202,12 +202,12 @@
         self.shares.started(precedence, order.run_s, now)
 
     def _wait(self, order: forwarding.Order, late: bool) -> None:
-        self.arrivals += 1
+        self.last_number += 1
         entry = QueueEntry(
             order.rank,
             late,
             self._due(order),
-            self.arrivals,
+            self.last_number,
             order,
             self.times.expected_s(order.route),
         )
@@ -218,7 +218,7 @@
 
         Late requests only get slots that no request in time needs.  Under
         sustained load there are none, and a long queue of late requests would
-        wait in vain.
+        wait without ever getting a slot.
         """
         queued = sum(
             entry.late and entry.rank == order.rank for entry in self.waiting
--- a/src/peridotpost/decisions/split.py
+++ b/src/peridotpost/decisions/split.py
@@ -20,21 +20,21 @@
             tuple[str, tuple[mesh.WeightedService, ...]], list[float]
         ] = {}
 
-    def pick(self, route: str, shares: Sequence[mesh.WeightedService]) -> str:
+    def pick(self, route: str, parts: Sequence[mesh.WeightedService]) -> str:
         """Return the service that gets the next request."""
-        if len(shares) == 1:
-            return shares[0].service
-        key = (route, tuple(shares))
+        if len(parts) == 1:
+            return parts[0].service
+        key = (route, tuple(parts))
         credits = self.credits.get(key)
         if credits is None:
             # Only the latest weights of a route are kept.
             for outdated in [old for old in self.credits if old[0] == route]:
                 del self.credits[outdated]
-            credits = self.credits[key] = [0.0] * len(shares)
-        total = 0.0
-        for index, share in enumerate(shares):
-            credits[index] += share.weight
-            total += share.weight
-        best = max(range(len(shares)), key=credits.__getitem__)
-        credits[best] -= total
-        return shares[best].service
+            credits = self.credits[key] = [0.0] * len(parts)
+        total_weight = 0.0
+        for index, part in enumerate(parts):
+            credits[index] += part.weight
+            total_weight += part.weight
+        best = max(range(len(parts)), key=credits.__getitem__)
+        credits[best] -= total_weight
+        return parts[best].service
--- a/src/peridotpost/decisions/suspicion.py
+++ b/src/peridotpost/decisions/suspicion.py
@@ -36,14 +36,16 @@
 was paused: scheduling delays on a loaded host stay well under one period."""
 MAX_CONFIRMATIONS = 3
 MIN_SUSPICION_SHARE = 0.5
+"""Share of the suspicion time that is left after all confirmations."""
 INDIRECT_SUSPICION_FACTOR = 2.0
+"""Factor of the suspicion time for observers that were only told of it."""
 MAX_REPROBES = 4
 """Own suspects probed again in a period; after the loss of a rack of 40 most
 observers in a zone of 473 have none or one."""
 MAX_FINAL_PROBES = 8
 """Final probes in a period; each takes at most four more datagrams."""
 SMALL_ZONE_MEMBERS = 3
-"""A zone with fewer live members is probed from other zones as well: the
+"""A zone with fewer live members is probed from remote zones as well: the
 last live member of a zone has no other there that could find it silent."""
 
 
@@ -71,19 +73,19 @@
         self,
         subject: str,
         zone_hosts: Collection[str],
-        other_hosts: Collection[str] = (),
+        remote_hosts: Collection[str] = (),
     ) -> list[str]:
         """Return the hosts to ask to probe `subject` as well.
 
         :param zone_hosts: hosts of the own zone.
-        :param other_hosts: hosts of other zones, used if `zone_hosts` are too
-            few.
+        :param remote_hosts: hosts of remote zones, used if `zone_hosts` are
+            too few.
         """
         chosen = self._sample(set(zone_hosts) - {subject}, INDIRECT_PROBES)
         missing = INDIRECT_PROBES - len(chosen)
         if missing:
             chosen += self._sample(
-                set(other_hosts) - {subject, *chosen}, missing
+                set(remote_hosts) - {subject, *chosen}, missing
             )
         return chosen
 
@@ -123,8 +125,8 @@
         """Return the seconds after which the member may be declared dead."""
         if not self.silent_periods:
             return INDIRECT_SUSPICION_FACTOR * suspicion_s
-        confirmed = min(self.silent_periods - 1, MAX_CONFIRMATIONS)
-        share = math.log(confirmed + 1) / math.log(MAX_CONFIRMATIONS + 1)
+        confirmations = min(self.silent_periods - 1, MAX_CONFIRMATIONS)
+        share = math.log(confirmations + 1) / math.log(MAX_CONFIRMATIONS + 1)
         return suspicion_s * (1 - (1 - MIN_SUSPICION_SHARE) * share)
 
 
@@ -164,7 +166,8 @@
         for suspicion in self.running.values():
             suspicion.started_at = now
 
-    def is_due(self, host: str, now: float) -> bool:
+    def has_expired(self, host: str, now: float) -> bool:
+        """Whether `host` has been suspected for the full duration."""
         suspicion = self.running.get(host)
         if suspicion is None:
             return False
@@ -174,8 +177,10 @@
 
     def expired(self, now: float) -> list[str]:
         """Return the hosts whose suspicion has expired, oldest first."""
-        due = [host for host in self.running if self.is_due(host, now)]
-        return sorted(due, key=lambda host: self.running[host].started_at)
+        expired = [
+            host for host in self.running if self.has_expired(host, now)
+        ]
+        return sorted(expired, key=lambda host: self.running[host].started_at)
 
     def found_by_self(self) -> list[str]:
         """Return the suspects that this observer itself found silent."""
@@ -193,9 +198,10 @@
     factor: float = PAUSE_FACTOR
 
     def paused(self, now: float) -> bool:
-        gap = now - self.last_tick
+        """Record a tick; return whether this process was paused before it."""
+        gap_s = now - self.last_tick
         self.last_tick = now
-        return gap > self.factor * self.period_s
+        return gap_s > self.factor * self.period_s
 
     def reset(self, now: float) -> None:
         """Restart the gap, at the end of a tick that takes long itself."""
--- a/src/peridotpost/decisions/tables.py
+++ b/src/peridotpost/decisions/tables.py
@@ -23,7 +23,7 @@
         self.members_by_service: dict[
             str, dict[str, members.MemberRecord]
         ] = {}
-        self.stale: set[str] = set()
+        self.stale_services: set[str] = set()
         self.version = config.NO_CONFIG
         self.table = routing.EMPTY_TABLE
 
@@ -35,31 +35,31 @@
         """Replace `before`, the former record of a member, by `record`."""
         for service in _services(before):
             self.members_by_service[service].pop(record.host, None)
-            self.stale.add(service)
+            self.stale_services.add(service)
         for service in _services(record):
             self.members_by_service.setdefault(service, {})[record.host] = (
                 record
             )
-            self.stale.add(service)
+            self.stale_services.add(service)
 
     def current(self, version: config.ConfigVersion) -> routing.RoutingTable:
         """Return the table of `version` over the current members.
 
         :raises routing.DanglingRoute: the table breaks its own invariant.
         """
-        if version is not self.version or self.stale:
+        if version is not self.version or self.stale_services:
             routes = {
                 name: self._route(name, spec)
                 for name, spec in version.services.items()
             }
             self.table = routing.RoutingTable(version.revision, routes)
             self.version = version
-            self.stale.clear()
+            self.stale_services.clear()
         return self.table
 
     def _route(self, name: str, spec: config.ServiceSpec) -> routing.Route:
         cached = self.table.routes.get(name)
-        if cached is None or name in self.stale:
+        if cached is None or name in self.stale_services:
             hosts = self.members_by_service.get(name, {})
             return routing.build_route(spec, hosts.values())
         if cached.spec is spec:
--- a/src/peridotpost/decisions/targetstate.py
+++ b/src/peridotpost/decisions/targetstate.py
@@ -33,7 +33,9 @@
 class Candidate:
     """A target as one ingress sees it.
 
-    :param load: running and queued requests per slot, as last reported.
+    :param instance: id of the target's current instance.
+    :param load: running and queued requests per slot, as reported at
+        `load_at`.
     :param run_s: mean run time over all routes.
     :param run_by_route: run time by route; a service may answer one route in
         a fifth of another's time.
@@ -72,7 +74,7 @@
     ) -> None:
         """Store the state that the guard announced for its target."""
         if instance != self.instance:
-            self.replaced()
+            self.reset_measurements()
         self.service = service
         self.instance = instance
         self.slots = slots
@@ -89,8 +91,8 @@
         self.run_by_route[route] = run_s
         self.run_s += EWMA_WEIGHT * (run_s - self.run_s)
 
-    def replaced(self) -> None:
-        """Discard the measurements of the previous incarnation."""
+    def reset_measurements(self) -> None:
+        """Discard the measurements of the previous instance."""
         self.observed_failures.report(0.0, 0.0)
         self.reported_failures.report(0.0, 0.0)
         self.run_s = DEFAULT_RUN_S
--- a/src/peridotpost/decisions/tree.py
+++ b/src/peridotpost/decisions/tree.py
@@ -65,13 +65,13 @@
     host: str, zone: str, zone_hosts: Iterable[str]
 ) -> TreePosition:
     """Compute the position of `host` among the live `zone_hosts`."""
-    order = ranked(zone, {*zone_hosts, host})
-    relays = order[:RELAYS_PER_ZONE]
+    ranked_hosts = ranked(zone, {*zone_hosts, host})
+    relays = ranked_hosts[:RELAYS_PER_ZONE]
     if host in relays:
         return TreePosition(True, True, ())
-    below = len(order) - len(relays)
-    intermediate = order[
-        len(relays) : len(relays) + _intermediate_count(below)
+    daemons_below = len(ranked_hosts) - len(relays)
+    intermediate = ranked_hosts[
+        len(relays) : len(relays) + _intermediate_count(daemons_below)
     ]
     if not intermediate or host in intermediate:
         return TreePosition(
@@ -93,11 +93,11 @@
     return tuple(sorted(parents, key=lambda host: host in suspected))
 
 
-def _intermediate_count(below: int) -> int:
-    """Return how many of `below` daemons are intermediate parents."""
-    if below <= RELAYS_PER_ZONE * FAN_OUT:
+def _intermediate_count(daemons_below: int) -> int:
+    """Return how many daemons below the relays are parents themselves."""
+    if daemons_below <= RELAYS_PER_ZONE * FAN_OUT:
         return 0
-    return math.ceil(below / (FAN_OUT + 1))
+    return math.ceil(daemons_below / (FAN_OUT + 1))
 
 
 def relays_of(zone: str, zone_hosts: Iterable[str]) -> list[str]:
@@ -117,9 +117,9 @@
     host: str,
     zone: str,
     zone_hosts: Iterable[str],
-    others: Sequence[ZoneRelays],
+    remote_zones: Sequence[ZoneRelays],
 ) -> list[str]:
-    """Return the relays of other zones that the relay `host` dials.
+    """Return the relays of remote zones that the relay `host` dials.
 
     Of two zones the one whose name sorts first dials; a stream carries
     updates in both directions.  The first relay dials the first of the
@@ -131,19 +131,19 @@
     own_index = own_relays.index(host) if host in own_relays else 0
     return [
         peer
-        for other in others
-        if zone < other.zone and other.relays
-        for peer in _peers_for(other.relays, own_index, len(own_relays))
+        for remote in remote_zones
+        if zone < remote.zone and remote.relays
+        for peer in _peers_for(remote.relays, own_index, len(own_relays))
     ]
 
 
 def _peers_for(
-    relays: Sequence[str], own_index: int, callers: int
+    relays: Sequence[str], own_index: int, own_count: int
 ) -> tuple[str, ...]:
     """Return those of `relays` that the relay at `own_index` dials."""
     if own_index >= len(relays):
         return (relays[own_index % len(relays)],)
-    return tuple(relays[own_index::callers])
+    return tuple(relays[own_index::own_count])
 
 
 def seed_hosts(zone: str, zone_hosts: Iterable[str], seeds: int) -> list[str]:
--- a/src/peridotpost/decisions/verdict.py
+++ b/src/peridotpost/decisions/verdict.py
@@ -79,6 +79,7 @@
             return
         self.bad += bad
         self.runs += runs
+        # Capped below 1, where the logarithms would be infinite.
         good_share = min(0.8, baseline_share * margins.factor + margins.good)
         bad_share = min(0.95, good_share + margins.bad)
         good_gain = math.log((1 - bad_share) / (1 - good_share))
@@ -201,21 +202,29 @@
     if baseline_timed < MIN_OLD_RUNS:
         # The old version has too few runs to derive a bound.
         return 0, 0, DEFAULT_SLOW_SHARE
-    median = _median(baseline.by_run_time, baseline_timed)
-    bound = max(median + SLOW_BUCKETS_ABOVE_MEDIAN, bucket_of(MIN_SLOW_S))
-    share = _count_from(baseline.by_run_time, bound) / baseline_timed
+    median_bucket = _median(baseline.by_run_time, baseline_timed)
+    first_slow_bucket = max(
+        median_bucket + SLOW_BUCKETS_ABOVE_MEDIAN, bucket_of(MIN_SLOW_S)
+    )
+    share = (
+        _count_from(baseline.by_run_time, first_slow_bucket) / baseline_timed
+    )
     timed = sum(new_runs.by_run_time.values())
-    return _count_from(new_runs.by_run_time, bound), timed, share
+    return _count_from(new_runs.by_run_time, first_slow_bucket), timed, share
 
 
-def _median(by_time: Mapping[int, int], timed: int) -> int:
+def _median(by_run_time: Mapping[int, int], timed: int) -> int:
     seen = 0
-    for bucket in sorted(by_time):
-        seen += by_time[bucket]
+    for bucket in sorted(by_run_time):
+        seen += by_run_time[bucket]
         if 2 * seen >= timed:
             return bucket
     return 0
 
 
-def _count_from(by_time: Mapping[int, int], bound: int) -> int:
-    return sum(count for bucket, count in by_time.items() if bucket >= bound)
+def _count_from(by_run_time: Mapping[int, int], first_slow_bucket: int) -> int:
+    return sum(
+        count
+        for bucket, count in by_run_time.items()
+        if bucket >= first_slow_bucket
+    )
