--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -90,9 +90,9 @@
             # The probe itself carries the suspicion, so that the suspect
             # can refute it even if its streams are broken.
             facts = [record]
-        with self._pending(record.host, [record]) as (nonce, expected):
+        with self._pending(record.host, [record]) as (nonce, pending):
             self._send(PING, nonce, record.host, record, facts)
-            return await self._wait_for_answer(expected, self.timeout_s)
+            return await self._wait_for_answer(pending, self.timeout_s)
 
     async def ping_via(
         self, record: members.MemberRecord, helpers: list[str]
@@ -104,13 +104,13 @@
         """
         found = [self.fleet.record_of(host) for host in helpers]
         asked = [one for one in found if one is not None]
-        with self._pending(record.host, asked) as (nonce, expected):
+        with self._pending(record.host, asked) as (nonce, pending):
             for helper in asked:
                 self._send(PING_REQUEST, nonce, record.host, helper, [])
             answered = await self._wait_for_answer(
-                expected, (TIMEOUTS_PER_PROBE - 1) * self.timeout_s
+                pending, (TIMEOUTS_PER_PROBE - 1) * self.timeout_s
             )
-            return answered, len(expected.heard)
+            return answered, len(pending.heard)
 
     @contextlib.contextmanager
     def _pending(
@@ -120,22 +120,22 @@
         # answer of a dead member.
         nonce = self.randomness.getrandbits(NONCE_BITS)
         answered = asyncio.get_running_loop().create_future()
-        expected = PendingProbe(
+        pending = PendingProbe(
             subject,
             {(one.address, one.probe_port): one.host for one in answerers},
             answered,
         )
-        self.waiting[nonce] = expected
+        self.waiting[nonce] = pending
         try:
-            yield nonce, expected
+            yield nonce, pending
         finally:
             del self.waiting[nonce]
 
     async def _wait_for_answer(
-        self, expected: PendingProbe, timeout_s: float
+        self, pending: PendingProbe, timeout_s: float
     ) -> bool:
         try:
-            await asyncio.wait_for(expected.answered, timeout_s)
+            await asyncio.wait_for(pending.answered, timeout_s)
         except TimeoutError:
             self.counts.add('probe.unanswered')
             return False
@@ -240,18 +240,18 @@
         facts: list[members.MemberRecord],
         address: Address,
     ) -> None:
-        expected = self.waiting.get(probe.nonce)
-        if expected is None:
+        pending = self.waiting.get(probe.nonce)
+        if pending is None:
             self.counts.add('probe.stale')
             return
-        if not expected.accepts(probe, address):
+        if not pending.accepts(probe, address):
             self.counts.add('probe.wrong-source')
             return
-        expected.heard.add(probe.source)
+        pending.heard.add(probe.source)
         if probe.kind == ACK:
             self._offer(facts)
-            if not expected.answered.done():
-                expected.answered.set_result(None)
+            if not pending.answered.done():
+                pending.answered.set_result(None)
 
     def _offer(self, facts: list[members.MemberRecord]) -> None:
         for one in facts:
--- a/src/peridotpost/membership/probing.py
+++ b/src/peridotpost/membership/probing.py
@@ -111,9 +111,15 @@
         started = self.clock.now()
         if await self.pings.ping(record):
             return observers.ProbeResult(answered=True)
-        near = [o.host for o in others if o.availability_zone == self.zone]
-        far = [o.host for o in others if o.availability_zone != self.zone]
-        helpers = self.observer.probe_round.helpers(record.host, near, far)
+        zone_hosts = [
+            one.host for one in others if one.availability_zone == self.zone
+        ]
+        remote_hosts = [
+            one.host for one in others if one.availability_zone != self.zone
+        ]
+        helpers = self.observer.probe_round.helpers(
+            record.host, zone_hosts, remote_hosts
+        )
         answered, heard = await self.pings.ping_via(record, helpers)
         elapsed_s = self.clock.now() - started
         return observers.ProbeResult(
--- a/src/peridotpost/membership/seeds.py
+++ b/src/peridotpost/membership/seeds.py
@@ -88,7 +88,9 @@
         if isinstance(found, result.Err):
             return found
         read = [read_seed(kv) for kv in found.ok_value]
-        self.stored = [r.ok_value for r in read if isinstance(r, result.Ok)]
+        self.stored = [
+            one.ok_value for one in read if isinstance(one, result.Ok)
+        ]
         seeds = list(self.stored)
         randomness.shuffle(seeds)
         seeds.sort(key=lambda seed: seed.availability_zone != zone)
@@ -99,7 +101,9 @@
     ) -> bool:
         """Renew, write or withdraw the record; return whether it is due."""
         zone = record.availability_zone
-        stored = [s.host for s in self.stored if s.availability_zone == zone]
+        stored = [
+            seed.host for seed in self.stored if seed.availability_zone == zone
+        ]
         if not rules.should_keep_record(record.host, zone, zone_hosts, stored):
             await self.withdraw()
             return False
