--- a/src/peridotpost/model/calls.py
+++ b/src/peridotpost/model/calls.py
@@ -49,7 +49,7 @@
 
 
 class NotRunReason(enum.StrEnum):
-    """Why a request was refused before it was sent to any target."""
+    """Why a request was refused; no target has run it."""
 
     NO_SERVICE = 'no-such-service'
     NO_TARGET = 'no-target'
--- a/src/peridotpost/model/forwarding.py
+++ b/src/peridotpost/model/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that are forwarded to a target, and their three outcomes."""
+"""Requests that a proxy forwards to a target, and their three outcomes."""
 
 from collections.abc import Callable
 import dataclasses
@@ -24,7 +24,7 @@
 class RetryCause(enum.IntEnum):
     """Why a request is sent to a target after another one had got it.
 
-    ``AGAIN``: the other target refused it, or its response was lost.
+    ``REFUSED_OR_LOST``: the other target refused it, or its response was lost.
     ``AFTER_FAILURE``: the other target's response was a failure.
     """
 
