--- a/src/peridotpost/decisions/idempotency.py
+++ b/src/peridotpost/decisions/idempotency.py
@@ -187,7 +187,8 @@
 class HandoverEntry:
     """A ledger entry as handed over to a successor.
 
-    Without `answer` and `unknown` the key never ran.
+    Without `answer` and `unknown` the key never ran.  The entry is sent with
+    its field names.
     """
 
     key: str
@@ -202,7 +203,7 @@
 
     It is complete for timestamps from `after_ms`, exclusive, to
     `until_ms`, inclusive: a key of that period that it does not list was
-    never run.
+    never run.  The ledger is sent with its field names.
 
     :param after_ms: keys with later timestamps, up to `until_ms`, were run
         by this process or not at all.
--- a/src/peridotpost/decisions/ownership.py
+++ b/src/peridotpost/decisions/ownership.py
@@ -51,6 +51,8 @@
 class Span:
     """A host's ownership of timestamps in [`since_ms`, `until_ms`).
 
+    Spans are sent with their field names.
+
     :param incarnation: incarnation of the process that the span was
         started for.
     """
--- a/src/peridotpost/decisions/releasesplit.py
+++ b/src/peridotpost/decisions/releasesplit.py
@@ -49,11 +49,15 @@
 
 
 class ReleaseSplit:
-    """The releases known to one daemon, by service."""
+    """The releases known to one daemon, by service.
+
+    :param discovery_started_at: when the first ready target was seen for a
+        service without a release.
+    """
 
     def __init__(self) -> None:
         self.releases: dict[str, _Release] = {}
-        self.started: float | None = None
+        self.discovery_started_at: float | None = None
         self.first_version_by_service: dict[str, str] = {}
 
     def offer(self, state: release.ReleaseState, now: float) -> bool:
@@ -209,9 +213,9 @@
         if not ready:
             return targets
         first_version = _most_common_version(ready)
-        if self.started is None:
-            self.started = now
-        if now - self.started >= DISCOVERY_S:
+        if self.discovery_started_at is None:
+            self.discovery_started_at = now
+        if now - self.discovery_started_at >= DISCOVERY_S:
             self.first_version_by_service[service] = first_version
         return [
             candidate
--- a/src/peridotpost/decisions/versions.py
+++ b/src/peridotpost/decisions/versions.py
@@ -182,7 +182,7 @@
 
 
 def heard_from_enough_peers(
-    store_read: bool, holding: int, asked: int, known: int
+    store_read: bool, holding_peers: int, asked_peers: int, known_peers: int
 ) -> bool:
     """Whether a starting daemon may serve the highest version it knows.
 
@@ -191,10 +191,10 @@
     when many daemons restart together and ask each other.
 
     :param store_read: the store was read.
-    :param holding: number of peers that answered and hold a version.
-    :param asked: number of peers asked.
-    :param known: number of peers known.
+    :param holding_peers: number of peers that answered and hold a version.
+    :param asked_peers: number of peers asked.
+    :param known_peers: number of peers known.
     """
-    if store_read or holding >= MIN_STARTUP_PEERS:
+    if store_read or holding_peers >= MIN_STARTUP_PEERS:
         return True
-    return holding > 0 and asked >= known
+    return holding_peers > 0 and asked_peers >= known_peers
--- a/src/peridotpost/model/calls.py
+++ b/src/peridotpost/model/calls.py
@@ -1,4 +1,8 @@
-"""Calls and the three outcomes that a caller can receive."""
+"""Calls and the three outcomes that a caller can receive.
+
+The field names are part of the protocol between daemons: ``calls.frames``
+encodes these classes by field name.
+"""
 
 import dataclasses
 import enum
