--- a/src/peridotpost/decisions/admission.py
+++ b/src/peridotpost/decisions/admission.py
@@ -85,7 +85,7 @@
     """Admission control with the slots and queues of one target.
 
     :param slots: requests that the target runs concurrently.
-    :param queue: maximum queue length of each work class.
+    :param max_queue: maximum queue length of each work class.
     :param randomness: source of jitter for the retries of refused callers.
     """
 
--- a/src/peridotpost/decisions/fleet.py
+++ b/src/peridotpost/decisions/fleet.py
@@ -62,7 +62,7 @@
     """The member records that one daemon holds, by host.
 
     :param departed_at: when each departed member was first seen so.
-    :param sums: checksum of the live members of each bucket.
+    :param bucket_sums: checksum of the live members of each bucket.
     :param live_by_zone: cache of :meth:`by_zone`; None when outdated.
     """
 
--- a/src/peridotpost/decisions/idempotency.py
+++ b/src/peridotpost/decisions/idempotency.py
@@ -92,7 +92,7 @@
     """State of one key in the ledger.
 
     :param fingerprint: identifies the request that the key was run with.
-    :param attempts: highest dispatch number reserved so far.
+    :param last_reserved_attempt: highest dispatch number reserved so far.
     :param outcome: None while the request runs, or if it never ran.
     """
 
--- a/src/peridotpost/decisions/slotshare.py
+++ b/src/peridotpost/decisions/slotshare.py
@@ -19,9 +19,8 @@
 MAX_SHARE = 0.95
 """Leaves at least 5% to less urgent work: its expected wait stays finite, and
 the share can decrease again."""
-
-
 MIN_OBJECTIVE_S = 0.001
+"""Shorter objectives count as this long; 0 has no logarithm."""
 
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
