--- a/src/peridotpost/decisions/idempotency.py
+++ b/src/peridotpost/decisions/idempotency.py
@@ -80,6 +80,7 @@
 ) -> Key:
     """Return a new key, timestamped `now_ms`, with an optional owner."""
     value = (now_ms << 80) | randomness.getrandbits(80)
+    # The version (7) and variant fields of RFC 9562.
     value = value & ~(0xF << 76) | (7 << 76)
     value = value & ~(0b11 << 62) | (0b10 << 62)
     suffix = f'@{zone}/{host}' if host else f'@{zone}' if zone else ''
@@ -91,7 +92,7 @@
     """State of one key in the ledger.
 
     :param fingerprint: identifies the request that the key was run with.
-    :param attempts: highest dispatch number reserved so far.
+    :param last_reserved_attempt: highest dispatch number reserved so far.
     :param outcome: None while the request runs, or if it never ran.
     """
 
@@ -186,7 +187,8 @@
 class HandoverEntry:
     """A ledger entry as handed over to a successor.
 
-    Without `answer` and `unknown` the key never ran.
+    Without `answer` and `unknown` the key never ran.  The entry is sent with
+    its field names.
     """
 
     key: str
@@ -201,7 +203,7 @@
 
     It is complete for timestamps from `after_ms`, exclusive, to
     `until_ms`, inclusive: a key of that period that it does not list was
-    never run.
+    never run.  The ledger is sent with its field names.
 
     :param after_ms: keys with later timestamps, up to `until_ms`, were run
         by this process or not at all.
--- a/src/peridotpost/model/calls.py
+++ b/src/peridotpost/model/calls.py
@@ -1,4 +1,8 @@
-"""Calls and the three outcomes that a caller can receive."""
+"""Calls and the three outcomes that a caller can receive.
+
+The field names are part of the protocol between daemons: ``calls.frames``
+encodes these classes by field name.
+"""
 
 import dataclasses
 import enum
@@ -49,7 +53,7 @@
 
 
 class NotRunReason(enum.StrEnum):
-    """Why a request was refused before it was sent to any target."""
+    """Why a request was refused; no target has run it."""
 
     NO_SERVICE = 'no-such-service'
     NO_TARGET = 'no-target'
