--- a/src/peridotpost/mesh/directory.py
+++ b/src/peridotpost/mesh/directory.py
@@ -40,7 +40,7 @@
 class Peer:
     """One other daemon.
 
-    :param recorded: whether the store has its record.
+    :param has_record: whether the store has its record.
     :param status_known: whether it has sent the status of its target.
     """
 
@@ -91,7 +91,7 @@
         )
         self.latest_by_address = {_address_of(own): own}
         self.closed = False
-        guard.target_count = self.siblings
+        guard.target_count = self.service_target_count
         guard.changed.subscribe(self._own_target_changed)
 
     # Queries of the ingress.
@@ -149,13 +149,13 @@
         if peer is not None and peer.stream is not None:
             peer.stream.withdraw(order)
 
-    def repeat_share(self) -> float:
-        return self.guard.repeat_share()
+    def retry_share(self) -> float:
+        return self.guard.retry_share()
 
     def running(self, attempt_id: bytes) -> forwarding.Order | None:
         return self.guard.running_by_attempt.get(attempt_id)
 
-    def siblings(self) -> int:
+    def service_target_count(self) -> int:
         """Return the number of targets of the own target's service."""
         service = self.own_candidate.service
         others = sum(
@@ -165,6 +165,7 @@
         return 1 + others
 
     def members(self) -> int:
+        """Return the number of connected daemons, including this one."""
         live = sum(peer.stream is not None for peer in self.peers.values())
         return 1 + live
 
@@ -172,10 +173,10 @@
 
     def recorded(self, records: Iterable[instances.HostRecord]) -> None:
         """Update the peers from the complete list of records."""
-        listed = {one.host for one in records}
+        recorded_hosts = {entry.host for entry in records}
         now = deadlines.now()
         for host, peer in self.peers.items():
-            if host not in listed and peer.recorded:
+            if host not in recorded_hosts and peer.recorded:
                 peer.recorded = False
                 peer.record_missing_since = now
         for record in records:
@@ -184,7 +185,11 @@
     def add_record(
         self, record: instances.HostRecord, recorded: bool = False
     ) -> None:
-        """Add or update a daemon's record, from the store or a peer."""
+        """Add or update a daemon's record.
+
+        :param from_store: whether it was read from the store; otherwise a
+            peer sent it.
+        """
         if record.host == self.own_record.host:
             return
         self._note_address(record)
@@ -212,6 +217,7 @@
             self._dial_if_due(peer, deadlines.now())
 
     def hosts(self) -> list[frames.Hello]:
+        """Return the other known daemons, for a `Known` frame."""
         return [
             _hello_from(peer.record, 0)
             for peer in self.peers.values()
@@ -265,7 +271,7 @@
         over an address is still dialled under the name of its predecessor.
         The peer closes such a stream when it receives the hello.
         """
-        for older in [one for one in self.accepted if one.host == host]:
+        for older in [known for known in self.accepted if known.host == host]:
             if older.incarnation != stream.incarnation:
                 older.close()
             else:
@@ -310,6 +316,7 @@
             stream.send(frame)
 
     def streams(self) -> list[peers.PeerStream]:
+        """Return all streams, whichever side opened them."""
         streams = list(self.accepted)
         streams += [peer.stream for peer in self.peers.values() if peer.stream]
         return streams
--- a/src/peridotpost/proxy/client.py
+++ b/src/peridotpost/proxy/client.py
@@ -74,13 +74,15 @@
 
     Each concurrent call uses a connection of its own.
 
-    :param connect_s: timeout for opening a connection.
+    :param connect_timeout_s: timeout for opening a connection.
     """
 
-    def __init__(self, address: str, port: int, connect_s: float) -> None:
+    def __init__(
+        self, address: str, port: int, connect_timeout_s: float
+    ) -> None:
         self.address = address
         self.port = port
-        self.connect_s = connect_s
+        self.connect_timeout_s = connect_timeout_s
         self.connection: ClientProtocol | None = None
         self.head = f'Host: {address}:{port}\r\n'.encode()
 
@@ -104,8 +106,8 @@
             if connection is not None:
                 connection.close()
             raise
-        free = self.connection is None
-        if free and connection.reusable and not connection.closed:
+        may_keep = self.connection is None
+        if may_keep and connection.reusable and not connection.closed:
             self.connection = connection
         else:
             connection.close()
@@ -125,7 +127,7 @@
 
     async def _open(self) -> ClientProtocol:
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(self.connect_s):
+        async with asyncio.timeout(self.connect_timeout_s):
             _, connection = await loop.create_connection(
                 ClientProtocol, self.address, self.port
             )
@@ -137,5 +139,5 @@
     waiter = asyncio.get_running_loop().create_future()
     connection.waiter = waiter
     connection.transport.write(payload)
-    answered: Response = await waiter
-    return answered
+    response: Response = await waiter
+    return response
--- a/src/peridotpost/proxy/deadlines.py
+++ b/src/peridotpost/proxy/deadlines.py
@@ -26,26 +26,29 @@
 
 
 class DeadlineTimer:
-    """Calls the callback of each key still registered at its deadline."""
+    """Calls the callback of each key at its deadline, unless discarded.
+
+    Deadlines are in seconds since boot, as `now` returns them.
+    """
 
     def __init__(self) -> None:
         self.slots: dict[int, dict[object, Callable[[], None]]] = {}
         self.order: list[int] = []
         self.handle: asyncio.TimerHandle | None = None
-        self.armed = 0
+        self.armed_slot = 0
 
     def add(
-        self, at: float, key: object, on_expiry: Callable[[], None]
+        self, deadline: float, key: object, on_expiry: Callable[[], None]
     ) -> int:
         """Register `key` and return its time slot, to pass to `discard`."""
-        slot = int(at / SLOT_S) + 1
+        slot = int(deadline / SLOT_S) + 1
         callbacks = self.slots.get(slot)
         if callbacks is not None:
             callbacks[key] = on_expiry
             return slot
         self.slots[slot] = {key: on_expiry}
         heapq.heappush(self.order, slot)
-        if self.handle is None or slot < self.armed:
+        if self.handle is None or slot < self.armed_slot:
             self._arm()
         return slot
 
@@ -66,15 +69,15 @@
             del self.slots[heapq.heappop(self.order)]
         if not self.order:
             return
-        self.armed = self.order[0]
-        delay = max(0.0, self.armed * SLOT_S - now())
+        self.armed_slot = self.order[0]
+        delay = max(0.0, self.armed_slot * SLOT_S - now())
         loop = asyncio.get_running_loop()
         self.handle = loop.call_later(delay, self._expire_due)
 
     def _expire_due(self) -> None:
         self.handle = None
-        due = int(now() / SLOT_S)
-        while self.order and self.order[0] <= due:
+        current_slot = int(now() / SLOT_S)
+        while self.order and self.order[0] <= current_slot:
             callbacks = self.slots.pop(heapq.heappop(self.order))
             for on_expiry in callbacks.values():
                 on_expiry()
--- a/src/peridotpost/proxy/deltas.py
+++ b/src/peridotpost/proxy/deltas.py
@@ -16,6 +16,7 @@
 import msgspec
 
 PIECE_END = b'},'
+"""Separator after which texts are split; it stays with its piece."""
 COMPRESSION_LEVEL = 3
 
 
--- a/src/peridotpost/proxy/exchange.py
+++ b/src/peridotpost/proxy/exchange.py
@@ -27,19 +27,19 @@
 
     :param tried: hosts whose guards were asked, in order.
     :param order: the current dispatch; None between two dispatches.
-    :param slot: time slot of its deadline in the deadline timer.
-    :param over: whether it was answered or its caller disconnected.
-    :param last_asked: whether a guard was told that no other target will be
-        asked.
+    :param deadline_slot: time slot of its deadline in the deadline timer.
+    :param finished: whether it was answered or its caller disconnected.
+    :param last_resort_asked: whether a guard was told that no other target
+        will be asked.
     :param retry_after_s: Retry-After for a refusal, from the last guard that
         gave one.
-    :param first_at: time of the caller's first attempt; equals `started`
+    :param first_attempt_at: time of the caller's first attempt; `started`
         unless an earlier attempt was refused.
     :param new_version: whether it is sent to the version being released.
     :param parent: the run on this host's target that made this request as a
         call, if any.
-    :param patient_until: the caller's own deadline, or the route's timeout if
-        the caller gave none.
+    :param caller_deadline: the caller's own deadline, or the route's timeout
+        if the caller gave none.
     """
 
     __slots__ = (
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -24,16 +24,18 @@
 from peridotpost.proxy import requestlog
 
 NO_CONFIG_RETRY_AFTER_S = 0.5
+"""Retry-After while this daemon has no configuration yet."""
 INLINE_BODY_BYTES = 512
 """Bodies up to this size are sent with every dispatch, since they are no
 larger than its headers."""
 BUSY_LOAD = 0.7
-"""Load above which a target may refuse a dispatch.  A larger body is then sent
-only when the guard asks for it."""
+"""Load, as a fraction of its slots, above which a target may refuse a
+dispatch.  A larger body is then sent only when the guard asks for it."""
 NO_BUDGET_HOLD_S = 0.5
 """After a guard ran out of retry budget, no running request of that service is
 rerouted for this long."""
 POISON_RETRY_AFTER_S = 30.0
+"""Retry-After for a request that is suspected of crashing targets."""
 
 
 class Backends(Protocol):
@@ -48,8 +50,8 @@
     def withdraw(self, host: str, order: forwarding.Order) -> None:
         """Cancel an order whose outcome is no longer needed."""
 
-    def repeat_share(self) -> float:
-        """Return the share of repeats among the runs of this host's target."""
+    def retry_share(self) -> float:
+        """Return the share of retries among the runs of this host's target."""
 
     def running(self, attempt_id: bytes) -> forwarding.Order | None:
         """Return the order that this host's target runs for an attempt id."""
@@ -150,12 +152,21 @@
         self._withdraw(exchange)
 
     def _service_for(
-        self, route: mesh.PathRoute, first: refusedrequests.FirstAttempt | None
+        self,
+        route: mesh.PathRoute,
+        first_attempt: refusedrequests.FirstAttempt | None,
     ) -> str:
-        """Return the service of a request, keeping that of a first attempt."""
-        if first is not None:
-            if any(share.service == first.service for share in route.shares):
-                return first.service
+        """Return the service of a request: that of its first attempt, if any.
+
+        It is picked by the route's shares for a request that was not refused
+        before, or whose earlier service the route no longer names.
+        """
+        if first_attempt is not None:
+            if any(
+                share.service == first_attempt.service
+                for share in route.shares
+            ):
+                return first_attempt.service
         return self.splitter.pick(route.name, route.shares)
 
     def _parent_run(self, message: http1.Message) -> forwarding.Order | None:
@@ -167,13 +178,13 @@
         self.parents_known = self.parents_known or parent is not None
         return parent
 
-    def _inherited_repeat_weight(self, exchange: exchanges.Exchange) -> float:
-        """Return how far a first dispatch counts as a repeat, 0 to 1."""
+    def _inherited_retry_weight(self, exchange: exchanges.Exchange) -> float:
+        """Return how far a first dispatch counts as a retry, 0 to 1."""
         if exchange.parent is not None:
             return exchange.parent.retry_weight
         # If calls identify their parent runs, a request without a parent comes
         # from an external caller.
-        return 0.0 if self.parents_known else self.backends.repeat_share()
+        return 0.0 if self.parents_known else self.backends.retry_share()
 
     def _apply_caller_deadline(self, exchange: exchanges.Exchange) -> None:
         stated_ms = exchange.message.deadline_ms
@@ -227,12 +238,8 @@
                 now,
                 exchange.route.idempotent,
             )
-        repeat_refused = exchange.attempts.budget_refusals > 0
-        if (
-            candidate is None
-            and not exchange.last_asked
-            and not repeat_refused
-        ):
+        retry_refused = exchange.attempts.budget_refusals > 0
+        if candidate is None and not exchange.last_asked and not retry_refused:
             exchange.last_asked = True
             candidate = self.selector.last_resort(candidates, route, now)
         return candidate
@@ -287,7 +294,7 @@
             ),
             route=exchange.route.name,
             retry_cause=exchange.attempts.repeat,
-            inherited_retry_weight=self._inherited_repeat_weight(exchange),
+            inherited_retry_weight=self._inherited_retry_weight(exchange),
             body_deferred=may_refuse and len(message.body) > INLINE_BODY_BYTES,
             may_move=lambda: self._may_reroute(exchange),
         )
@@ -320,8 +327,8 @@
         exchange.order = None
         now = deadlines.now()
         self._record_outcome(exchange, candidate, outcome, now)
-        step = exchange.attempts.after(outcome, now)
-        if step is attempts.Action.RETRY:
+        action = exchange.attempts.after(outcome, now)
+        if action is attempts.Action.RETRY:
             self._dispatch(exchange)
         elif isinstance(outcome, forwarding.TargetAnswer):
             self._finish_with_answer(exchange, outcome)
@@ -464,5 +471,5 @@
         self, exchange: exchanges.Exchange, status: int
     ) -> None:
         if self.observe is not None:
-            elapsed = deadlines.now() - exchange.started
-            self.observe(exchange, status, elapsed)
+            elapsed_s = deadlines.now() - exchange.started
+            self.observe(exchange, status, elapsed_s)
--- a/src/peridotpost/proxy/frameconversion.py
+++ b/src/peridotpost/proxy/frameconversion.py
@@ -9,6 +9,7 @@
 
 MS_IN_S = 1000
 SHARE_UNITS = 10_000
+"""Units of a whole in the share of a ``ReleaseUpdate``."""
 
 
 def dispatch_frame(
@@ -56,8 +57,8 @@
         last=frame.last,
         done=done,
         route=frame.route,
-        retry_cause=forwarding.RetryCause(frame.repeat),
-        inherited_retry_weight=frame.inherited / 100,
+        retry_cause=forwarding.RetryCause(frame.retry_cause),
+        inherited_retry_weight=frame.inherited_retry_percent / 100,
     )
 
 
@@ -165,10 +166,10 @@
         frame.number,
         release.Stage(frame.stage),
         frame.share / SHARE_UNITS,
-        frame.focus,
+        frame.canary_host,
         frame.elapsed_ms / MS_IN_S,
         frame.coordinator,
-        tuple(frame.banned),
+        tuple(frame.rejected_versions),
     )
 
 
@@ -200,7 +201,7 @@
         frame.drained,
         {
             counts.route: release.RouteRunCounts(
-                counts.runs, counts.failed, counts.by_time
+                counts.runs, counts.failed, counts.by_run_time
             )
             for counts in frame.routes
         },
--- a/src/peridotpost/proxy/frames.py
+++ b/src/peridotpost/proxy/frames.py
@@ -21,8 +21,11 @@
 class Dispatch(msgspec.Struct, array_like=True, tag=1):
     """A request for the receiver's target; see ``forwarding.Order``.
 
-    :param inherited: in hundredths.
-    :param body_later: whether the body is left out and sent on request.
+    :param remaining_ms: time until the deadline.
+    :param objective_ms: time until the objective.
+    :param retry_cause: a ``forwarding.RetryCause``.
+    :param inherited_retry_percent: inherited retry weight in hundredths.
+    :param body_deferred: whether the body is left out and sent on request.
     """
 
     number: int
@@ -38,9 +41,9 @@
     rank: int
     left_ms: int
     objective_ms: int
-    repeat: int = 0
-    inherited: int = 0
-    body_later: bool = False
+    retry_cause: int = 0
+    inherited_retry_percent: int = 0
+    body_deferred: bool = False
 
 
 class BodyWanted(msgspec.Struct, array_like=True, tag=18):
@@ -101,7 +104,11 @@
 
 
 class Status(msgspec.Struct, array_like=True, tag=6):
-    """State of the sender's target, sent on each change."""
+    """State of the sender's target, sent on each change.
+
+    :param load: running and queued requests, in hundredths of the slots.
+    :param failing: share of failed requests, in hundredths.
+    """
 
     service: str
     instance: str
@@ -115,8 +122,8 @@
 class Hello(msgspec.Struct, array_like=True, tag=7):
     """First frame sent by each side.
 
-    :param slow: whether the sender's link is slow, so that it relies on peers
-        for configuration versions instead of reading the store.
+    :param slow_link: whether the sender's link is slow, so that it relies on
+        peers for configuration versions instead of reading the store.
     :param compressed: whether everything after this frame is one deflate
         stream, flushed after each write.
     """
@@ -181,7 +188,7 @@
 
 
 class Pong(msgspec.Struct, array_like=True, tag=13):
-    """Response to a `Ping`, with load and configuration version."""
+    """Response to a `Ping`; `load` and `failing` are as in `Status`."""
 
     load: int
     version: int
@@ -208,19 +215,19 @@
     number: int
     stage: int
     share: int
-    focus: str
+    canary_host: str
     elapsed_ms: int
     coordinator: str
-    banned: list[str] = []
+    rejected_versions: list[str] = []
 
 
 class RouteCounts(msgspec.Struct, array_like=True):
-    """Runs of one route; see ``release.RouteRuns``."""
+    """Runs of one route; see ``release.RouteRunCounts``."""
 
     route: str
     runs: int
     failed: int
-    by_time: dict[int, int]
+    by_run_time: dict[int, int]
 
 
 class ReleaseReport(msgspec.Struct, array_like=True, tag=17):
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -87,6 +87,7 @@
 
     @property
     def in_flight(self) -> int:
+        """Number of orders that run, wait or are about to be sent."""
         started = (
             len(self.running) + len(self.connecting) + len(self.awaiting_body)
         )
@@ -181,7 +182,7 @@
             return
         now = deadlines.now()
         if not self._has_budget(order, now):
-            self._refuse_repeat(order)
+            self._refuse_retry(order)
             return
         verdict = self.queue.submit(order, now)
         if not verdict.started and not verdict.refused:
@@ -284,10 +285,10 @@
         }
         self.log.write('declined', fields)
 
-    def _set_expiry(self, at: float, order: forwarding.Order) -> None:
+    def _set_expiry(self, deadline: float, order: forwarding.Order) -> None:
         self._clear_expiry(order)
         self.expiries[order] = self.deadline_timer.add(
-            at, order, lambda: self._expired(order)
+            deadline, order, lambda: self._expired(order)
         )
 
     def _is_starting(self, order: forwarding.Order) -> bool:
@@ -337,15 +338,15 @@
         self, order: forwarding.Order, connection: upstream.TargetConnection
     ) -> None:
         now = deadlines.now()
-        left_ms = int((order.deadline - now) * 1000)
-        if left_ms <= 0 or not self._has_budget(order, now):
-            # The process was stalled since the decision, or other repeats used
+        remaining_ms = int((order.deadline - now) * 1000)
+        if remaining_ms <= 0 or not self._has_budget(order, now):
+            # The process was stalled since the decision, or other retries used
             # the retry budget while this one was waiting.
             self.idle.add(connection)
             self._clear_expiry(order)
             self._apply_verdict(self.queue.release(order, now))
-            if left_ms > 0:
-                self._refuse_repeat(order)
+            if remaining_ms > 0:
+                self._refuse_retry(order)
             else:
                 order.settle(forwarding.Refused(forwarding.Refusal.TOO_LATE))
             return
@@ -358,7 +359,7 @@
             order.head,
             self.instance_header,
             self.names.deadline,
-            left_ms,
+            remaining_ms,
         )
         payload = http1.render_request(
             order.method, order.target, head, order.body
@@ -367,8 +368,8 @@
         order.done = lambda outcome: self._run_finished(order, done, outcome)
         connection.send(order, payload)
 
-    def repeat_share(self) -> float:
-        """Return the share of repeats among current runs, 0 to 1."""
+    def retry_share(self) -> float:
+        """Return the share of retries among current runs, 0 to 1."""
         if not self.running:
             return 0.0
         weight = sum(order.retry_weight for order in self.running)
@@ -379,7 +380,7 @@
             return True
         return self.budget.admits(order.retry_cause, self.target_count(), now)
 
-    def _refuse_repeat(self, order: forwarding.Order) -> None:
+    def _refuse_retry(self, order: forwarding.Order) -> None:
         self.counts.add('requests.no-retry-budget')
         order.settle(forwarding.Refused(forwarding.Refusal.NO_RETRY_BUDGET))
 
@@ -510,6 +511,6 @@
             connection.abort()
 
     def _clear_expiry(self, order: forwarding.Order) -> None:
-        slot = self.expiries.pop(order, None)
-        if slot is not None:
-            self.deadline_timer.discard(slot, order)
+        time_slot = self.expiries.pop(order, None)
+        if time_slot is not None:
+            self.deadline_timer.discard(time_slot, order)
--- a/src/peridotpost/proxy/http1.py
+++ b/src/peridotpost/proxy/http1.py
@@ -43,7 +43,7 @@
     :param not_run: whether the target states that it did not run the request.
     :param signed: whether the response bears the target's signature header.
     :param framed: whether the headers delimit the body.
-    :param hosts: number of ``Host`` headers.
+    :param host_header_count: number of ``Host`` headers.
     :param nominated_headers: header names listed in ``Connection``.
     """
 
@@ -87,7 +87,7 @@
 class MessageReader:
     """Parser callbacks that build one `Message` after another.
 
-    Bodies over ``max_body`` bytes and headers over ``max_head`` bytes raise
+    Bodies over `max_body_bytes` and headers over `max_head_bytes` raise
     `TooLarge` from within the parser.
     """
 
@@ -96,8 +96,8 @@
     ) -> None:
         self.names = header_names
         self.sink = sink
-        self.max_body = 1 << 30
-        self.max_head = 1 << 20
+        self.max_body_bytes = 1 << 30
+        self.max_head_bytes = 1 << 20
         self.message = Message()
         self.proxy_headers = {
             header_names.deadline,
@@ -117,7 +117,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         message = self.message
         message.head_bytes += len(name) + len(value)
-        if message.head_bytes > self.max_head:
+        if message.head_bytes > self.max_head_bytes:
             raise TooLarge
         lower = name.lower()
         header_names = self.names
@@ -163,7 +163,7 @@
     def on_body(self, body: bytes) -> None:
         message = self.message
         message.body_size += len(body)
-        if message.body_size > self.max_body:
+        if message.body_size > self.max_body_bytes:
             raise TooLarge
         message.body_chunks.append(body)
 
@@ -206,17 +206,17 @@
     status: int, reason: bytes, head: bytes, body: bytes, close: bool
 ) -> bytes:
     """Serialize a response to a caller."""
-    closing = b'Connection: close\r\n' if close else b''
+    connection_header = b'Connection: close\r\n' if close else b''
     if status in (204, 304):
-        length = b''
+        length_header = b''
     else:
-        length = b'Content-Length: %d\r\n' % len(body)
+        length_header = b'Content-Length: %d\r\n' % len(body)
     return b'HTTP/1.1 %d %s\r\n%s%s%s\r\n%s' % (
         status,
         reason or REASON_PHRASES.get(status, b'Unknown'),
         head,
-        length,
-        closing,
+        length_header,
+        connection_header,
         body,
     )
 
--- a/src/peridotpost/proxy/listener.py
+++ b/src/peridotpost/proxy/listener.py
@@ -18,10 +18,12 @@
 
 BACKLOG = 1024
 CHECK_INTERVAL_S = 1.0
+"""Interval between checks of all connections for timeouts."""
 IDLE_SLACK_S = 1.0
 """Connections are kept open this much longer than their limits, so that a
 request sent just before a limit does not race with the close."""
 MAX_PIPELINED = 32
+"""Number of requests that may wait on a connection that is busy."""
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
@@ -57,8 +59,8 @@
         self.port = port
         self.transport: asyncio.Transport | None = None
         self.reader = http1.MessageReader(port.names, self)
-        self.reader.max_body = port.limits.max_body_bytes
-        self.reader.max_head = port.limits.max_header_bytes
+        self.reader.max_body_bytes = port.limits.max_body_bytes
+        self.reader.max_head_bytes = port.limits.max_header_bytes
         self.parser = http1.request_parser(self.reader)
         self.waiting: list[http1.Message] = []
         self.busy = False
@@ -199,6 +201,7 @@
 
     @property
     def busy(self) -> int:
+        """Number of connections with a request in progress."""
         return sum(connection.busy for connection in self.connections)
 
     def close_timed_out(self) -> None:
--- a/src/peridotpost/proxy/peers.py
+++ b/src/peridotpost/proxy/peers.py
@@ -31,10 +31,11 @@
 IDLE_PING_S = 2.0
 """Interval between pings on an idle stream."""
 REMOTE_ZONE_IDLE_PING_S = 20.0
-"""The same for a stream to another zone, where traffic is expensive.  A stream
-that died unnoticed is detected by the first request on it, within
+"""The same for a stream to a remote zone, where traffic is expensive.  A
+stream that died unnoticed is detected by the first request on it, within
 ``PING_AFTER_S`` plus ``REROUTE_AFTER_S``."""
 CHECK_INTERVAL_S = 0.1
+"""Interval between checks of all streams for silent peers."""
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024
 """Limit of the write buffer; a peer that stops reading is disconnected."""
 
@@ -71,7 +72,9 @@
         dispatches; None if the peer opened it.
     :param incarnation: the peer's process; 0 until its `Hello` arrives.
     :param version: the peer's configuration version in its `Hello`.
-    :param asked: whether the peer was asked which daemons it knows.
+    :param hosts_requested: whether the peer was asked which daemons it knows.
+    :param sent_orders: orders that the peer has not settled, by number.
+    :param received_orders: orders of the peer that are not settled yet.
     """
 
     def __init__(
@@ -111,11 +114,11 @@
             self._send_hello()
 
     def _send_hello(self) -> None:
-        """Send `Hello`; later frames to another zone are compressed."""
-        far = self.owner.is_remote_zone(self.zone)
+        """Send `Hello`; later frames to a remote zone are compressed."""
+        remote_zone = self.owner.is_remote_zone(self.zone)
         assert self.transport is not None
-        self.transport.write(frames.encode(self.owner.hello(far)))
-        if far:
+        self.transport.write(frames.encode(self.owner.hello(remote_zone)))
+        if remote_zone:
             self.deflater = frames.deflater()
             self.idle_ping_s = REMOTE_ZONE_IDLE_PING_S
 
@@ -247,7 +250,7 @@
             self._reply(dispatch, outcome)
 
         order = frameconversion.order_from_frame(dispatch, now, done)
-        if dispatch.body_later:
+        if dispatch.body_deferred:
             order.fetch_body = lambda: self.send(frames.BodyWanted(number))
         self.received[number] = order
         self.guard.submit(order)
@@ -323,8 +326,8 @@
         quiet_since = self.received_at
         if self.sent:
             quiet_since = max(quiet_since, self.unanswered_since)
-        bound = PING_AFTER_S if self.sent else self.idle_ping_s
-        if self.dialled and now - quiet_since > bound:
+        quiet_limit_s = PING_AFTER_S if self.sent else self.idle_ping_s
+        if self.dialled and now - quiet_since > quiet_limit_s:
             self.pinged_at = now
             self.send(frames.Ping(self.owner.version))
 
--- a/src/peridotpost/proxy/requesthistory.py
+++ b/src/peridotpost/proxy/requesthistory.py
@@ -35,8 +35,8 @@
         """Return the first attempt of a request that was refused earlier."""
         if not self.refused.by_fingerprint:
             return None
-        name = _refusal_fingerprint(message)
-        return self.refused.take(name, route.name, deadlines.now())
+        fingerprint = _refusal_fingerprint(message)
+        return self.refused.take(fingerprint, route.name, deadlines.now())
 
     def remember_refusal(self, exchange: exchanges.Exchange) -> None:
         """Record a refusal, to recognize a retry before the deadline."""
@@ -63,9 +63,11 @@
         """Whether a request must be refused because it crashed targets."""
         if not self.poison.suspects:
             return False
-        names = (_fingerprint(message),)
+        fingerprints = (_fingerprint(message),)
         return (
-            self.poison.refusal_remaining_by_names_s(names, deadlines.now())
+            self.poison.refusal_remaining_by_names_s(
+                fingerprints, deadlines.now()
+            )
             > 0
         )
 
--- a/src/peridotpost/proxy/upstream.py
+++ b/src/peridotpost/proxy/upstream.py
@@ -36,8 +36,8 @@
 class TargetConnection(asyncio.Protocol):
     """One connection that carries one request at a time.
 
-    :param left: called when a request ends or the connection is lost, with
-        whether it was lost during a request.
+    :param on_release: called when a request ends or the connection is lost,
+        with whether it was lost during a request.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.outcome: forwarding.Outcome | None = None
         self.transport: asyncio.Transport | None = None
         self.reader = http1.MessageReader(header_names, self)
-        self.reader.max_body = MAX_BODY_BYTES
+        self.reader.max_body_bytes = MAX_BODY_BYTES
         self.parser = http1.response_parser(self.reader)
         self.partial_response: http1.Message | None = None
         self.reusable = True
