--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -48,6 +48,7 @@
 """Fraction of the grace period after which the process exits, whatever still
 runs."""
 DRAIN_POLL_S = 0.02
+"""Interval between checks whether all requests have ended."""
 STALL_THRESHOLD_S = 0.25
 """A wake-up that is later than this is logged: peers consider this daemon
 silent after ``peers.PING_AFTER_S`` plus ``peers.REROUTE_AFTER_S``."""
@@ -104,25 +105,27 @@
         self.directory = directories.Directory(
             self.own_record, self.guard, self.randomness, self.counts, self.log
         )
-        split = releasesplit.ReleaseSplit()
+        release_split = releasesplit.ReleaseSplit()
         self.forwarder = forwarders.Forwarder(
             headers,
             settings.service,
             self.directory,
             selection.Selector(settings.availability_zone, self.randomness),
             self.request_deadlines,
-            split,
+            release_split,
             self.counts,
             self.log,
         )
         self.requests = listener.Port(headers, self.forwarder.handle)
-        follow = following.StoreReadPolicy(settings.link_mbps, deadlines.now())
-        self.directory.slow = follow.slow
+        read_policy = following.StoreReadPolicy(
+            settings.link_mbps, deadlines.now()
+        )
+        self.directory.slow = read_policy.slow
         self.versions = version_feed.Versions(
             self.adapter.decode,
             self._apply_config,
             self.directory,
-            follow,
+            read_policy,
             self.counts,
             self.log,
         )
@@ -136,7 +139,7 @@
             self.log,
         )
         self.releases = release_parts.Releases(
-            split,
+            release_split,
             settings.releases.exposure,
             self.directory,
             self.guard,
@@ -323,12 +326,12 @@
 
     def _handle_own_crash(self, fingerprints: tuple[str, ...]) -> None:
         incident = time.time_ns()
-        names = list(fingerprints)
-        self.log.state('crash', fingerprints=names, incident=incident)
+        suspects = list(fingerprints)
+        self.log.state('crash', fingerprints=suspects, incident=incident)
         self.forwarder.history.crashed(
-            names, self.own_record.host, str(incident)
+            suspects, self.own_record.host, str(incident)
         )
-        self.directory.broadcast(frames.Crash(incident, names))
+        self.directory.broadcast(frames.Crash(incident, suspects))
 
     def _handle_frame(self, received: directories.ReceivedFrame) -> None:
         frame = received.frame
--- a/src/peridotpost/mesh/releasecoordinator.py
+++ b/src/peridotpost/mesh/releasecoordinator.py
@@ -47,7 +47,11 @@
 
 
 class Fleet(Protocol):
-    """The coordinator's access to its own and the other daemons."""
+    """The coordinator's access to its own and the other daemons.
+
+    :param exposure: largest share of the service's requests that a bad
+        version may get, see ``releaseplan.ReleasePlan``.
+    """
 
     exposure: float
     own_report: release.TargetReport
@@ -57,7 +61,7 @@
         """The releases known to this daemon."""
 
     def offer(self, state: release.ReleaseState) -> bool:
-        """Apply a state on this daemon."""
+        """Apply a state here; return False if a newer one is known."""
 
     def broadcast(self, state: release.ReleaseState) -> None:
         """Send a state to all other daemons."""
@@ -80,7 +84,11 @@
 
 
 class Coordinator:
-    """Claims the lead of one release and leads it until it is final."""
+    """Claims the lead of one release and leads it until it is final.
+
+    :param epoch: epoch of the claim; 0 while this daemon does not lead.
+    :param update_number: number of the last update that it announced.
+    """
 
     def __init__(
         self,
@@ -101,12 +109,12 @@
         self.number = 0
         self.renewed_at = 0.0
         self.completing = False
-        self.banned = fleet.split.banned(order)
+        self.rejected_versions = fleet.split.banned(order)
 
     async def run(self) -> None:
         """Ensure that the release has a coordinator until it is final."""
         await asyncio.sleep(MAX_FIRST_CLAIM_DELAY_S * self.randomness.random())
-        while not tasks.cancelled() and not self._is_over():
+        while not tasks.cancelled() and not self._has_ended():
             if not self._has_coordinator():
                 try:
                     await self._claim_and_lead()
@@ -158,7 +166,8 @@
             return None
         return state
 
-    def _is_over(self) -> bool:
+    def _has_ended(self) -> bool:
+        """Whether it is final or replaced by a later order."""
         state = self._known_state()
         if state is None:
             return False
@@ -191,8 +200,8 @@
         status = await self.feed.read_status(self.order.service)
         if status.stage is None or not status.stage.is_final:
             return False
-        is_this = status.version == self.order.version
-        if not is_this or status.revision < self.order.revision:
+        same_version = status.version == self.order.version
+        if not same_version or status.revision < self.order.revision:
             return False
         self._announce(status.stage, 0.0, '')
         return True
@@ -246,7 +255,7 @@
         await self._write_status(release.Stage.CANARY)
         announced_at = 0.0
         last_update: tuple[release.Stage, float, str] | None = None
-        while self.epoch and not self._is_over():
+        while self.epoch and not self._has_ended():
             now = deadlines.now()
             view = self._fleet_view()
             if not self.completing:
@@ -257,13 +266,13 @@
                 self.completing = True
                 if await self._write_status(release.Stage.COMPLETED):
                     plan.complete(now)
-            share, focus = plan.share(now), plan.focus(view, now)
-            update = (plan.stage, share, focus)
+            share, canary_host = plan.share(now), plan.focus(view, now)
+            update = (plan.stage, share, canary_host)
             if (
                 update != last_update
                 or now - announced_at >= ANNOUNCE_INTERVAL_S
             ):
-                self._announce(plan.stage, share, focus)
+                self._announce(plan.stage, share, canary_host)
                 announced_at, last_update = now, update
             if plan.stage is release.Stage.ROLLED_BACK:
                 await self._roll_back(plan)
@@ -283,13 +292,18 @@
 
     def _fleet_view(self) -> releaseplan.FleetView:
         targets = self.fleet.service_targets(self.order)
-        answers = deadlines.now() - self.renewed_at < STORE_ANSWER_MAX_AGE_S
+        store_answers = (
+            deadlines.now() - self.renewed_at < STORE_ANSWER_MAX_AGE_S
+        )
         return releaseplan.FleetView(
-            targets.reports, targets.new_hosts, targets.old_hosts, answers
+            targets.reports,
+            targets.new_hosts,
+            targets.old_hosts,
+            store_answers,
         )
 
     def _announce(
-        self, stage: release.Stage, share: float, focus: str
+        self, stage: release.Stage, share: float, canary_host: str
     ) -> None:
         self.number += 1
         state = release.ReleaseState(
@@ -298,10 +312,10 @@
             number=self.number,
             stage=stage,
             share=share,
-            canary_host=focus,
+            canary_host=canary_host,
             elapsed_s=max(0.0, deadlines.now() - self.ordered_at),
             coordinator=self.fleet.own_report.host,
-            rejected_versions=self.banned,
+            rejected_versions=self.rejected_versions,
         )
         self.fleet.offer(state)
         self.fleet.broadcast(state)
--- a/src/peridotpost/mesh/releases.py
+++ b/src/peridotpost/mesh/releases.py
@@ -26,8 +26,9 @@
 from peridotpost.proxy import peers
 
 REPORT_INTERVAL_S = 0.25
-"""Interval of a guard's reports to the coordinator."""
+"""Interval of a daemon's reports to the coordinator."""
 MIN_FAILED_STATUS = 500
+"""Lowest HTTP status that counts as a failed run."""
 
 
 class Releases:
@@ -107,22 +108,22 @@
 
         A host whose target is unknown counts as running an old version.
         """
-        new: list[str] = []
-        old: list[str] = []
+        new_hosts: list[str] = []
+        old_hosts: list[str] = []
         for host, candidate, status_known in self.directory.known_targets():
             if not status_known:
-                old.append(host)
+                old_hosts.append(host)
             elif candidate.service != order.service:
                 continue
             elif candidate.version != order.version:
-                old.append(host)
+                old_hosts.append(host)
             elif candidate.ready:
-                new.append(host)
+                new_hosts.append(host)
         reports = dict(self.reports.get((order.service, order.revision), {}))
         if self.counted_revision == order.revision:
             reports[self.own_report.host] = self._current_report()
         return releasecoordinator.ServiceTargets(
-            list(reports.values()), new, old
+            list(reports.values()), new_hosts, old_hosts
         )
 
     # Orders and messages of other daemons.
--- a/src/peridotpost/mesh/storefeed.py
+++ b/src/peridotpost/mesh/storefeed.py
@@ -71,7 +71,10 @@
         """Return the current configuration."""
 
     async def next_config(self, revision: int) -> ConfigRead:
-        """Wait a few seconds at most for a change after `revision`."""
+        """Return the changes after `revision`; wait for one a few seconds.
+
+        The result has neither a configuration nor orders if none came.
+        """
 
     async def read_records(
         self, stale: bool
--- a/src/peridotpost/mesh/versions.py
+++ b/src/peridotpost/mesh/versions.py
@@ -25,10 +25,10 @@
 """Time for a version that a peer announced to arrive from the store.  With a
 shorter delay each version would be fetched twice."""
 OTHER_ZONE_FETCH_DELAY_S = 0.7
-"""The same if the peer is in another zone: the own zone is asked first."""
-OTHER_ZONE_FIRST_FETCH_DELAY_S = 0.1
+"""The same if the peer is in a remote zone: the own zone is asked first."""
+REMOTE_ZONE_FIRST_FETCH_DELAY_S = 0.1
 """How long a daemon without a configuration waits for its own zone before it
-asks another zone."""
+asks a remote zone."""
 FIRST_FETCH_RETRY_S = 0.5
 """Delay until such a daemon asks the next peer.  It asks one at a time, since
 each peer would send the whole configuration."""
@@ -55,7 +55,7 @@
         decode: Decode,
         apply: Callable[[mesh.MeshConfig], None],
         directory: directories.Directory,
-        follow: following.StoreReadPolicy,
+        read_policy: following.StoreReadPolicy,
         counts: counters.Counters,
         log: jsonlog.JsonLog,
     ) -> None:
@@ -66,7 +66,7 @@
         self.log = log
         self.current: mesh.MeshConfig | None = None
         self.current_raw = b''
-        self.following = follow
+        self.following = read_policy
         self.raw_by_version: dict[int, bytes] = {}
         self.frames_by_base: dict[int, frames.Config | frames.ConfigDelta] = {}
         self.applied_at = deadlines.now()
@@ -80,7 +80,10 @@
         return self.current.version if self.current is not None else 0
 
     def offer(self, raw: bytes, source: str) -> bool:
-        """Apply a configuration that is valid and newer than the current."""
+        """Apply a configuration if it is valid and newer than the current one.
+
+        Returns whether it was applied.
+        """
         if raw == self.current_raw:
             return False
         try:
@@ -108,7 +111,7 @@
         self.log.state(
             'config', before=before, version=config.version, source=source
         )
-        # Other zones learn of it from the next ping: they have the store and
+        # Remote zones learn of it from the next ping: they have the store and
         # each other, and traffic between zones is billed.
         self.directory.broadcast_to_zone(self._version_frame())
         return True
@@ -137,11 +140,11 @@
                 self._version_frame(), slow_only=True
             )
 
-    def note_store_state(self, answers: bool) -> None:
+    def note_store_state(self, reachable: bool) -> None:
         """Record whether the store answers; announce it to peers if not."""
         followed = self.following.follows_store
-        self.following.note_store_state(answers, deadlines.now())
-        if followed and not answers:
+        self.following.note_store_state(reachable, deadlines.now())
+        if followed and not reachable:
             self.directory.broadcast_to_zone(
                 self._version_frame(), slow_only=True
             )
@@ -159,24 +162,24 @@
     def _handle_version(
         self, frame: frames.Version, stream: peers.PeerStream
     ) -> None:
-        other_zone = self.directory.is_remote_zone(stream.zone)
-        if frame.following and stream.slow and not other_zone:
+        remote_zone = self.directory.is_remote_zone(stream.zone)
+        if frame.following and stream.slow and not remote_zone:
             self.following.note_peer_read(deadlines.now())
-        elif frame.following and not other_zone:
+        elif frame.following and not remote_zone:
             if self.following.heard(stream.host, deadlines.now()):
                 self.followed_again.fire(stream.host)
-        elif frame.following is False and not other_zone:
+        elif frame.following is False and not remote_zone:
             self.following.lost(stream.host)
         if frame.version <= self.version:
             return
         if not self.version:
             self._schedule_first_fetch(stream, frame.version)
             return
-        if frame.following and self.following.slow and not other_zone:
+        if frame.following and self.following.slow and not remote_zone:
             self._fetch(stream, frame.version)
             return
         loop = asyncio.get_running_loop()
-        pause_s = OTHER_ZONE_FETCH_DELAY_S if other_zone else FETCH_DELAY_S
+        pause_s = OTHER_ZONE_FETCH_DELAY_S if remote_zone else FETCH_DELAY_S
         loop.call_later(pause_s, self._fetch, stream, frame.version)
 
     def _schedule_first_fetch(
@@ -184,13 +187,13 @@
     ) -> None:
         """Schedule the first fetch: at once in the own zone, else delayed.
 
-        Other zones are asked too, since the own zone may have no host that
+        Remote zones are asked too, since the own zone may have no host that
         follows the store.
         """
         if not version:
             return
         pause_s = (
-            OTHER_ZONE_FIRST_FETCH_DELAY_S
+            REMOTE_ZONE_FIRST_FETCH_DELAY_S
             if self.directory.is_remote_zone(stream.zone)
             else 0.0
         )
