--- a/src/peridotpost/platform/configuration.py
+++ b/src/peridotpost/platform/configuration.py
@@ -19,7 +19,7 @@
 
 
 class _Route(msgspec.Struct, rename='camel'):
-    """:param kind: whether requests may be repeated, not a content type."""
+    """A route; its requests may be repeated if `kind` is ``safe``."""
 
     name: str
     host: str
--- a/src/peridotpost/platform/store.py
+++ b/src/peridotpost/platform/store.py
@@ -266,7 +266,7 @@
 
 
 def _write_entry(key: str, value: bytes, lease: int = 0) -> dict[str, Any]:
-    """Return an entry for the writes of a transaction."""
+    """Return an entry for the writes of a transaction; lease 0 is none."""
     return {
         'key': key,
         'value': base64.b64encode(value).decode(),
@@ -280,7 +280,7 @@
     """Extract the configuration and the release orders from `items`."""
     raw = None
     orders: list[release.ReleaseOrder] = []
-    unusable: list[str] = []
+    order_errors: list[str] = []
     for item in items:
         if item.deleted:
             continue
@@ -294,8 +294,10 @@
                     )
                 )
             except ValueError as error:
-                unusable.append(str(error))
-    return storefeed.ConfigRead(raw, revision, tuple(orders), tuple(unusable))
+                order_errors.append(str(error))
+    return storefeed.ConfigRead(
+        raw, revision, tuple(orders), tuple(order_errors)
+    )
 
 
 def _decode_value(item: _Item) -> bytes:
