--- a/src/peridotpost/proxy/frames.py
+++ b/src/peridotpost/proxy/frames.py
@@ -122,8 +122,8 @@
 class Hello(msgspec.Struct, array_like=True, tag=7):
     """First frame sent by each side.
 
-    :param slow_link: whether the sender's link is slow, so that it relies on
-        peers for configuration versions instead of reading the store.
+    :param has_slow_link: whether the sender's link is slow, so that it relies
+        on peers for configuration versions instead of reading the store.
     :param compressed: whether everything after this frame is one deflate
         stream, flushed after each write.
     """
