--- a/src/peridotpost/calls/connections.py
+++ b/src/peridotpost/calls/connections.py
@@ -32,6 +32,8 @@
 and, about a millisecond later, its listening socket, which resets pending
 connections; the remaining time allows for a busy host."""
 MAX_LENGTH_DIGITS = 18
+"""A Content-Length with more digits counts as over any limit: ``int`` raises
+ValueError for more than 4300 digits."""
 HOP_HEADERS = frozenset(
     {
         'connection',
@@ -49,7 +51,7 @@
 """Hop-by-hop headers (RFC 9110 section 7.6.1), which are not forwarded."""
 
 
-def end_to_end(
+def end_to_end_headers(
     headers: httputil.HTTPHeaders, dropped: Collection[str]
 ) -> tuple[calls.Header, ...]:
     """Return the headers to forward.
@@ -61,12 +63,12 @@
     if listed is not None:
         names = {name.strip().lower() for name in listed.split(',')}
         dropped = names.union(dropped)
-    found = [
+    forwarded = [
         calls.Header(name, value)
         for name, value in headers.get_all()
         if name.lower() not in dropped
     ]
-    return tuple(found)
+    return tuple(forwarded)
 
 
 class ConnectFailed(Exception):
@@ -166,13 +168,13 @@
         return calls.Answer(
             status=self.start.code,
             reason=self.start.reason,
-            headers=end_to_end(self.headers, self.dropped_headers),
+            headers=end_to_end_headers(self.headers, self.dropped_headers),
             body=b''.join(self.chunks),
         )
 
 
 def _is_clean(stream: iostream.IOStream) -> bool:
-    """Whether an idle connection is open and has no unread bytes.
+    """Return whether a connection is open and has no unread bytes.
 
     Surplus bytes after an answer would be read as the answer to the next
     caller's request, and a connection that the target has closed would
@@ -197,9 +199,9 @@
         self.idle: dict[int, collections.deque[IdleConnection]] = {}
 
     def close(self) -> None:
-        for kept in self.idle.values():
-            for one in kept:
-                one.stream.close()
+        for connections in self.idle.values():
+            for connection in connections:
+                connection.stream.close()
         self.idle.clear()
 
     async def fetch(
@@ -213,12 +215,12 @@
         :raises ConnectFailed: nothing was sent.
         :raises AnswerLost: the target may have run the request.
         """
-        lost: StaleConnection | None = None
-        kept = self._take_idle(port, now)
-        if kept is not None:
+        stale_error: StaleConnection | None = None
+        reused = self._take_idle(port, now)
+        if reused is not None:
             try:
                 return await self._fetch_on(
-                    kept, port, call, answer_bytes, now
+                    reused, port, call, answer_bytes, now
                 )
             except StaleConnection as error:
                 # The target closed the connection before answering, but
@@ -227,14 +229,14 @@
                 self.counts.add('connection.stale')
                 if not call.idempotent:
                     raise
-                lost = error
+                stale_error = error
         try:
             fresh = await self._connect(port)
         except ConnectFailed:
             # The request was sent on the idle connection, so the failure
             # must not be reported as "nothing was sent".
-            if lost is not None:
-                raise lost from None
+            if stale_error is not None:
+                raise stale_error from None
             raise
         return await self._fetch_on(fresh, port, call, answer_bytes, now)
 
@@ -247,25 +249,25 @@
         now: float,
     ) -> calls.Answer:
         reader = _AnswerReader(answer_bytes, call.method)
-        done = False
+        complete = False
         try:
             await self._exchange(stream, call, reader)
             answer = reader.to_answer()
-            done = True
+            complete = True
             return answer
         except iostream.StreamClosedError as error:
             if reader.start is None:
                 raise StaleConnection('closed before the answer') from error
             raise AnswerLost(str(error)) from error
         finally:
-            if done and reader.keep_alive and _is_clean(stream):
+            if complete and reader.keep_alive and _is_clean(stream):
                 idle = self.idle.setdefault(port, collections.deque())
                 idle.append(IdleConnection(stream, now))
             else:
                 stream.close()
 
     async def refuses(self, port: int) -> bool:
-        """Whether the process listening at `port` has exited or is exiting.
+        """Return whether the process at `port` has exited or is exiting.
 
         A new connection that is closed immediately was pending at a process
         that has exited or at one that does not accept connections; a second
@@ -279,7 +281,7 @@
         return False
 
     async def _stays_open(self, port: int) -> bool:
-        """Whether a connection stays open for ``SHUTDOWN_DETECTION_S``.
+        """Return whether a connection stays open for ``SHUTDOWN_DETECTION_S``.
 
         :raises ConnectFailed: the connection could not be opened.
         """
@@ -296,13 +298,15 @@
         return False
 
     def _take_idle(self, port: int, now: float) -> iostream.IOStream | None:
-        kept = self.idle.get(port)
-        while kept:
-            one = kept.pop()
-            if now - one.idle_since < MAX_IDLE_S and _is_clean(one.stream):
+        connections = self.idle.get(port)
+        while connections:
+            newest = connections.pop()
+            if now - newest.idle_since < MAX_IDLE_S and _is_clean(
+                newest.stream
+            ):
                 self.counts.add('connection.reused')
-                return one.stream
-            one.stream.close()
+                return newest.stream
+            newest.stream.close()
         self.idle.pop(port, None)
         return None
 
--- a/src/peridotpost/calls/frames.py
+++ b/src/peridotpost/calls/frames.py
@@ -17,7 +17,8 @@
 
 LENGTH = struct.Struct('>I')
 MAX_FRAME_BYTES = 20 * 1024 * 1024
-CHUNK_BYTES = 65_536
+"""Holds a body of the maximum size, 16 MiB, and its headers."""
+READ_BYTES = 65_536
 
 
 class CallFrame(msgspec.Struct, tag='call', array_like=True, frozen=True):
@@ -60,7 +61,7 @@
 
 
 class CrashFrame(msgspec.Struct, tag='crash', array_like=True, frozen=True):
-    """Report that a request crashed a target of a service on the peer.
+    """Report to a host of the same service that a request crashed `target`.
 
     :param fingerprints: of the request, see ``decisions.poison``.
     """
@@ -153,7 +154,7 @@
     """
     buffer = bytearray()
     while True:
-        buffer += await stream.read_bytes(CHUNK_BYTES, partial=True)
+        buffer += await stream.read_bytes(READ_BYTES, partial=True)
         start = 0
         while len(buffer) - start >= LENGTH.size:
             (length,) = LENGTH.unpack_from(buffer, start)
--- a/src/peridotpost/calls/gates.py
+++ b/src/peridotpost/calls/gates.py
@@ -75,24 +75,24 @@
 
     def discard_gone(self, present: Collection[tuple[str, str]]) -> None:
         """Remove the gates of absent targets that have no calls left."""
-        for key, one in tuple(self.by_target.items()):
-            busy = one.gate.running or one.gate.waiting
+        for key, target_gate in tuple(self.by_target.items()):
+            busy = target_gate.gate.running or target_gate.gate.waiting
             if key not in present and not busy:
                 del self.by_target[key]
 
     async def acquire_slot(
-        self, gate: TargetGate, ticket: fairness.Ticket
+        self, target_gate: TargetGate, ticket: fairness.Ticket
     ) -> bool:
         """Wait for a slot; return False if the call is refused instead."""
-        step = gate.gate.submit(ticket, self.clock.now())
-        self._apply_step(gate, step)
-        if ticket in step.started:
+        decision = target_gate.gate.submit(ticket, self.clock.now())
+        self._apply_decision(target_gate, decision)
+        if ticket in decision.started:
             return True
-        if ticket in step.refused:
+        if ticket in decision.refused:
             return False
         loop = asyncio.get_running_loop()
         admitted: asyncio.Future[bool] = loop.create_future()
-        gate.waiters[ticket] = admitted
+        target_gate.waiters[ticket] = admitted
         # The gate refuses expired calls only when another call arrives or
         # finishes.  The timer covers a target that hangs, whose gate sees
         # neither.
@@ -106,41 +106,47 @@
                 and not admitted.cancelled()
                 and admitted.result()
             ):
-                self._release_slot(gate, ticket)
-            gate.gate.withdraw(ticket)
+                self._release_slot(target_gate, ticket)
+            target_gate.gate.withdraw(ticket)
             raise
         finally:
             timer.cancel()
-            gate.waiters.pop(ticket, None)
+            target_gate.waiters.pop(ticket, None)
         if not may_run:
-            gate.gate.withdraw(ticket)
+            target_gate.gate.withdraw(ticket)
         return may_run
 
     @contextlib.contextmanager
     def hold_slot(
-        self, gate: TargetGate, ticket: fairness.Ticket
+        self, target_gate: TargetGate, ticket: fairness.Ticket
     ) -> Iterator[None]:
         """Hold an acquired slot, and release it to the next call on exit."""
         try:
             yield
         finally:
-            self._release_slot(gate, ticket)
-
-    def _release_slot(self, gate: TargetGate, ticket: fairness.Ticket) -> None:
-        self._apply_step(gate, gate.gate.finish(ticket, self.clock.now()))
-
-    def _apply_step(self, gate: TargetGate, step: admission.Decision) -> None:
-        for ticket in step.refused:
-            admitted = gate.waiters.get(ticket)
+            self._release_slot(target_gate, ticket)
+
+    def _release_slot(
+        self, target_gate: TargetGate, ticket: fairness.Ticket
+    ) -> None:
+        self._apply_decision(
+            target_gate, target_gate.gate.finish(ticket, self.clock.now())
+        )
+
+    def _apply_decision(
+        self, target_gate: TargetGate, decision: admission.Decision
+    ) -> None:
+        for ticket in decision.refused:
+            admitted = target_gate.waiters.get(ticket)
             if admitted is not None and not admitted.done():
                 admitted.set_result(False)
-        for ticket in step.started:
-            admitted = gate.waiters.get(ticket)
+        for ticket in decision.started:
+            admitted = target_gate.waiters.get(ticket)
             if admitted is None:
                 continue
             if admitted.done():
                 # Timed out or cancelled in this iteration of the event loop.
-                self._release_slot(gate, ticket)
+                self._release_slot(target_gate, ticket)
             else:
                 admitted.set_result(True)
 
--- a/src/peridotpost/calls/guard.py
+++ b/src/peridotpost/calls/guard.py
@@ -88,13 +88,13 @@
             return self._report_refusal(call, refusal)
         spec = self.replica.version.services[call.service]
         target = self.targets.by_name[(call.service, name)]
-        gate = self.gates.for_target(target, spec)
+        target_gate = self.gates.for_target(target, spec)
         ticket = gates.ticket_for(call, spec, began)
-        if not await self.gates.acquire_slot(gate, ticket):
+        if not await self.gates.acquire_slot(target_gate, ticket):
             return self._report_refusal(
-                call, self._full_refusal(call, gate, name)
+                call, self._full_refusal(call, target_gate, name)
             )
-        with self.gates.hold_slot(gate, ticket):
+        with self.gates.hold_slot(target_gate, ticket):
             # The target may have started draining while the call waited.
             refusal = self._find_refusal(call, name)
             if refusal is not None:
@@ -109,12 +109,12 @@
             return calls.NotRun(
                 calls.NotRunReason.DRAINING, 'the host is leaving', 100
             )
-        refused_s = self.poison.refusal_remaining_s(call, self.clock.now())
-        if refused_s > 0:
+        refusal_s = self.poison.refusal_remaining_s(call, self.clock.now())
+        if refusal_s > 0:
             return calls.NotRun(
                 calls.NotRunReason.POISON,
                 'this request crashed the targets that ran it',
-                round(refused_s * 1000),
+                round(refusal_s * 1000),
             )
         if call.service not in self.replica.version.services:
             return calls.NotRun(
@@ -135,7 +135,7 @@
         return None
 
     def _full_refusal(
-        self, call: calls.Call, gate: gates.TargetGate, name: str
+        self, call: calls.Call, target_gate: gates.TargetGate, name: str
     ) -> calls.NotRun:
         now = self.clock.now()
         if call.budget_ms <= 0:
@@ -145,7 +145,7 @@
         return calls.NotRun(
             calls.NotRunReason.FULL,
             f'target {name!r} is full',
-            gate.gate.retry_after_ms(now),
+            target_gate.gate.retry_after_ms(now),
         )
 
     def _report_refusal(
--- a/src/peridotpost/calls/ingress.py
+++ b/src/peridotpost/calls/ingress.py
@@ -28,6 +28,7 @@
 from peridotpost.model import calls
 
 MAX_DEPTH = 10
+"""Maximum length of a chain of calls between services, which ends loops."""
 BODY_TIMEOUT_S = 60.0
 """Maximum time for receiving a body; 16 MB in this time are 2.3 Mbit/s."""
 KEY_HEADER = 'Idempotency-Key'
@@ -177,7 +178,7 @@
             service=service,
             method=start.method,
             path=start.path,
-            headers=connections.end_to_end(headers, RESERVED_HEADERS),
+            headers=connections.end_to_end_headers(headers, RESERVED_HEADERS),
             body=body,
             budget_ms=min(requested_ms, rule.deadline_ms),
             idempotent=rule.idempotent,
@@ -202,7 +203,7 @@
         hosted = self.targets.services()
         named = headers.get(FROM_HEADER)
         sources = hosted & {named} if named else hosted
-        if not any(table.may_call(one, service) for one in sources):
+        if not any(table.may_call(source, service) for source in sources):
             raise RefusedRequest(
                 calls.NotRunReason.FORBIDDEN,
                 f'no service here depends on {service!r}; add it to '
@@ -257,7 +258,7 @@
 
     A call with a key may already have run and been retried, after its
     answer was lost, through a daemon that is not ready or has another
-    version.  If told `not run`, its caller would send it under a new key,
+    version.  After `not run`, its caller would send it under a new key,
     so the outcome is unknown: only the key's owner knows.  An invalid key
     was never run anywhere.
     """
@@ -273,8 +274,12 @@
     """Return the answer with the key that its call was run under."""
     if not key:
         return answer
-    kept = [one for one in answer.headers if one.name.title() != KEY_HEADER]
-    headers = (*kept, calls.Header(KEY_HEADER, key))
+    others = [
+        header
+        for header in answer.headers
+        if header.name.title() != KEY_HEADER
+    ]
+    headers = (*others, calls.Header(KEY_HEADER, key))
     return dataclasses.replace(answer, headers=headers)
 
 
--- a/src/peridotpost/calls/ledger_handover.py
+++ b/src/peridotpost/calls/ledger_handover.py
@@ -17,6 +17,7 @@
 from peridotpost.model import calls
 
 MAX_BYTES = 32 * 1024 * 1024
+"""Total size of the ledgers stored for other hosts."""
 ENTRY_OVERHEAD_BYTES = 200
 """Approximate size of an entry without the body of its answer."""
 MAX_CHUNK_BYTES = 1024 * 1024
@@ -50,7 +51,11 @@
         self.ledgers: dict[str, StoredLedger] = {}
 
     def store(self, chunk: idempotency.HandoverLedger, now_ms: int) -> None:
-        """Store a chunk; only the last one has the full proof period."""
+        """Store a chunk of a ledger.
+
+        Only the last chunk proves that keys absent from the ledger were
+        not run.
+        """
         stored = self.ledgers.pop(chunk.host, None)
         if stored is None or stored.ledger.until_ms != chunk.until_ms:
             stored = StoredLedger(chunk, {}, now_ms)
@@ -65,7 +70,8 @@
     def _evict(self, now_ms: int) -> None:
         for host, stored in tuple(self.ledgers.items()):
             over_limit = (
-                sum(one.size for one in self.ledgers.values()) > MAX_BYTES
+                sum(ledger.size for ledger in self.ledgers.values())
+                > MAX_BYTES
             )
             if (
                 over_limit
@@ -163,7 +169,7 @@
             fleet.live_hosts(record.availability_zone) if record else []
         )
         if len(set(candidates) - {host}) < 2:
-            candidates = [one.host for one in fleet.live()]
+            candidates = [member.host for member in fleet.live()]
         return ownership.successors_of(host, candidates)
 
     def _unknown(self, host: str) -> calls.OutcomeUnknown:
--- a/src/peridotpost/calls/owner.py
+++ b/src/peridotpost/calls/owner.py
@@ -76,8 +76,8 @@
         have used this incarnation and later ones, so none of them is
         attributed to this process.
         """
-        step = record.incarnation - max(self.process.incarnations)
-        if step != 1:
+        increment = record.incarnation - max(self.process.incarnations)
+        if increment != 1:
             return
         self.process = ownership.Process(
             self.process.host,
@@ -253,10 +253,11 @@
         )
 
     def _different_request(self) -> calls.OutcomeUnknown:
-        """Return the outcome of a request that differs from the first one
+        """Return the outcome of a request that differs from the first one.
 
         It may be the same call with, for example, another time in its
-        body.  If told `not run`, its caller would send it under a new key.
+        body.  After `not run`, its caller would send it under a new key,
+        and it would run twice.
         """
         self.counts.add('owner.other-request')
         return self._unknown(
--- a/src/peridotpost/calls/peer_server.py
+++ b/src/peridotpost/calls/peer_server.py
@@ -62,9 +62,9 @@
             running[frame.number] = task
             task.add_done_callback(lambda _: running.pop(frame.number, None))
         elif isinstance(frame, frames.CancelFrame):
-            found = running.get(frame.number)
-            if found is not None:
-                found.cancel()
+            cancelled = running.get(frame.number)
+            if cancelled is not None:
+                cancelled.cancel()
         elif isinstance(frame, frames.CrashFrame):
             self.guard.record_crash(
                 frame.fingerprints, frame.target, frame.incident
--- a/src/peridotpost/calls/peers.py
+++ b/src/peridotpost/calls/peers.py
@@ -39,7 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """A request, identified by its fingerprints, crashed a target."""
+    """A request, identified by its fingerprints, crashed a target.
+
+    :param incident: identifies the crash; calls lost in the same crash of a
+        target share it.
+    """
 
     fingerprints: tuple[str, ...]
     target: str
@@ -61,11 +65,11 @@
         self,
         peer: str,
         counts: counters.Counters,
-        reported: hooks.Hook[LoadReport],
+        load_reported: hooks.Hook[LoadReport],
     ) -> None:
         self.peer = peer
         self.counts = counts
-        self.load_reported = reported
+        self.load_reported = load_reported
         self.call_numbers = itertools.count(1)
         self.pending_calls: dict[int, PendingCall] = {}
         self.pending_acks: dict[int, asyncio.Future[None]] = {}
@@ -175,9 +179,9 @@
             self.counts.add('peer.unreadable')
         finally:
             stream.close()
-            for one in self.pending_calls.values():
-                if not one.outcome.done():
-                    one.outcome.set_result(
+            for pending in self.pending_calls.values():
+                if not pending.outcome.done():
+                    pending.outcome.set_result(
                         self._lost_outcome('its stream closed')
                     )
 
--- a/src/peridotpost/calls/requests.py
+++ b/src/peridotpost/calls/requests.py
@@ -21,10 +21,13 @@
 from peridotpost.model import calls
 
 MAX_BODY_BYTES = 16_777_216
+"""A declared length above this is refused without reading the body."""
 MAX_BUFFERED_BYTES = 67_108_864
 """A quarter of the 256 MB that a daemon may use."""
 MEMORY_RETRY_MS = 1000
 MAX_NUMBER_DIGITS = 18
+"""Limit for numbers in headers; ``int`` raises ValueError for more than 4300
+digits."""
 
 
 class IngressInterface(Protocol):
@@ -72,7 +75,7 @@
         self.chunks: list[bytes] = []
         self.size = 0
         self.limit = 0
-        self.buffered = 0
+        self.body_buffered_bytes = 0
         self.memory_exceeded = False
         self.refused = False
         self.task: asyncio.Task[None] | None = None
@@ -86,9 +89,12 @@
         self.start = start_line
         self.headers = headers
         self.limit = self.ingress.body_limit(headers)
-        declared = headers.get('Content-Length', '')
-        if declared.isdigit() and len(declared) < MAX_NUMBER_DIGITS:
-            self.size = int(declared)
+        declared_length = headers.get('Content-Length', '')
+        if (
+            declared_length.isdigit()
+            and len(declared_length) < MAX_NUMBER_DIGITS
+        ):
+            self.size = int(declared_length)
         if self.size <= self.limit:
             self.size = 0
         elif self.size > MAX_BODY_BYTES or 'Expect' in headers:
@@ -111,13 +117,13 @@
             self._discard_body()
             return
         self.chunks.append(chunk)
-        self.buffered += len(chunk)
+        self.body_buffered_bytes += len(chunk)
         self.ingress.buffered_bytes += len(chunk)
 
     def _discard_body(self) -> None:
         self.chunks.clear()
-        self.ingress.buffered_bytes -= self.buffered
-        self.buffered = 0
+        self.ingress.buffered_bytes -= self.body_buffered_bytes
+        self.body_buffered_bytes = 0
 
     def finish(self) -> None:
         if self.refused:
--- a/src/peridotpost/calls/router.py
+++ b/src/peridotpost/calls/router.py
@@ -30,7 +30,11 @@
 
 
 class Router:
-    """Chooses targets by ``decisions.choice`` and ``decisions.retry``."""
+    """Sends calls to targets and retries them.
+
+    ``decisions.loadbalancing`` selects the target, ``decisions.retry``
+    decides on a retry.
+    """
 
     def __init__(
         self,
@@ -65,23 +69,24 @@
         return await self.keyed.route(call)
 
     async def carry(
-        self, call: calls.Call, first_attempt: int = 0
+        self, call: calls.Call, previous_attempts: int = 0
     ) -> calls.Outcome:
         """Send `call` to one target after another until an outcome is final.
 
-        A call with a key is passed only by its owner, and once.  Otherwise
-        it could not be refused as one that crashes targets: it might have
-        run before, and "not run" would be wrong.
+        Only the owner of a key may pass a call with a key, and only while
+        no target can have run it.  A request that crashes targets is
+        refused here as `not run`, which would be wrong for a call that may
+        have run before.
 
-        :param first_attempt: dispatch numbers start above this one.
+        :param previous_attempts: dispatch numbers start above this one.
         """
-        refused_s = self.guard.poison.refusal_remaining_s(
+        refusal_s = self.guard.poison.refusal_remaining_s(
             call, self.clock.now()
         )
-        if refused_s > 0:
-            return self._poison_refusal(refused_s)
-        if first_attempt:
-            call = dataclasses.replace(call, attempt=first_attempt)
+        if refusal_s > 0:
+            return self._poison_refusal(refusal_s)
+        if previous_attempts:
+            call = dataclasses.replace(call, attempt=previous_attempts)
         return retry.mark_retried(await self._try_targets(call))
 
     async def _try_targets(self, call: calls.Call) -> calls.Outcome:
@@ -115,13 +120,13 @@
             )
             current = dataclasses.replace(call, budget_ms=left_ms)
 
-    def _poison_refusal(self, refused_s: float) -> calls.NotRun:
+    def _poison_refusal(self, refusal_s: float) -> calls.NotRun:
         self.counts.add('router.poisoned')
         return calls.NotRun(
             calls.NotRunReason.POISON,
             'this request crashed the targets that ran it; correct it, or '
             'send it again later',
-            round(refused_s * 1000),
+            round(refusal_s * 1000),
             self.replica.host,
         )
 
@@ -131,8 +136,8 @@
 
     def _has_untried_target(self, call: calls.Call, tried: set[str]) -> bool:
         return any(
-            loadbalancing.target_key(one) not in tried
-            for one in self._endpoints(call)
+            loadbalancing.target_key(endpoint) not in tried
+            for endpoint in self._endpoints(call)
         )
 
     async def _attempt(
@@ -169,12 +174,12 @@
         """Update the state that later target selections depend on."""
         key = loadbalancing.target_key(endpoint)
         others = (
-            loadbalancing.target_key(one)
-            for one in self._endpoints(call)
-            if one is not endpoint
+            loadbalancing.target_key(other)
+            for other in self._endpoints(call)
+            if other is not endpoint
         )
         self.ejector.note(
-            _subject(endpoint),
+            _target_id(endpoint),
             ejection.classify(outcome),
             others,
             self.clock.now(),
@@ -198,14 +203,19 @@
         fingerprints = poison.fingerprints(call)
         self.guard.record_crash(fingerprints, target, incident)
         crash = peers.CrashReport(fingerprints, target, incident)
-        peers_by_host = {one.host: one for one in self._endpoints(call)}
-        peers_by_host.pop(self.replica.host, None)
+        endpoint_by_host = {
+            endpoint.host: endpoint for endpoint in self._endpoints(call)
+        }
+        endpoint_by_host.pop(self.replica.host, None)
         await asyncio.gather(
             *(
                 self.streams.report_crash(
-                    one.address, one.call_port, one.host, crash
+                    endpoint.address,
+                    endpoint.call_port,
+                    endpoint.host,
+                    crash,
                 )
-                for one in peers_by_host.values()
+                for endpoint in endpoint_by_host.values()
             )
         )
 
@@ -218,12 +228,12 @@
     ) -> routing.Endpoint | None:
         endpoints = self._endpoints(call)
         now = self.clock.now()
-        ejected = self.ejector.excluded(map(_subject, endpoints), now)
-        found = self._choose_among(endpoints, tried | ejected, now)
-        if found is None and ejected:
+        ejected = self.ejector.excluded(map(_target_id, endpoints), now)
+        chosen = self._choose_among(endpoints, tried | ejected, now)
+        if chosen is None and ejected:
             # All other targets were tried: an ejected one is better than none.
-            found = self._choose_among(endpoints, tried, now)
-        return found
+            chosen = self._choose_among(endpoints, tried, now)
+        return chosen
 
     def _choose_among(
         self,
@@ -267,7 +277,7 @@
         )
 
 
-def _subject(endpoint: routing.Endpoint) -> ejection.TargetId:
+def _target_id(endpoint: routing.Endpoint) -> ejection.TargetId:
     return ejection.TargetId(
         loadbalancing.target_key(endpoint),
         endpoint.host,
--- a/src/peridotpost/calls/schedule_keeper.py
+++ b/src/peridotpost/calls/schedule_keeper.py
@@ -1,7 +1,9 @@
 """Keeps a copy of the ownership schedule, and extends it in the store.
 
-The schedule is one record for the mesh.  It is written once in a quarter
-of its lead, or more often while the mesh is new, but never for a call.
+The schedule is one record for the mesh.  Its lead is the time from the
+present to its horizon (``decisions.ownership``).  The record is written once
+in a quarter of the lead, or more often while the mesh is new, but never for
+a call.
 Each daemon reads it eight times per lead: with a lead of an hour and 5,200
 daemons, 12 reads a second.
 """
@@ -25,6 +27,7 @@
 from peridotpost.store import store as stores
 
 TICK_S = 1.0
+"""Interval of the calls to `ScheduleKeeper.tick`."""
 MS_IN_S = 1000
 READS_PER_LEAD = 8
 STATUS_OK = 200
@@ -42,7 +45,7 @@
         'founded_ms': schedule.founded_ms,
         'floor_ms': schedule.floor_ms,
         'horizon_ms': schedule.horizon_ms,
-        'spans': [_to_row(one) for one in schedule.spans],
+        'spans': [_to_row(span) for span in schedule.spans],
     }
     return zlib.compress(json.dumps(plain).encode())
 
@@ -50,7 +53,7 @@
 def decode(kv: stores.KeyValue) -> ownership.Schedule:
     """Decode a schedule record.
 
-    :raises errors.StoreGarbage: the record is invalid.
+    :raises errors.StoreProtocolError: the record is invalid.
     """
     try:
         plain = json.loads(zlib.decompress(kv.value))
@@ -132,19 +135,19 @@
             # among 5,200 members would take each daemon milliseconds
             # every second.
             return
-        live = self._candidates()
-        writers = ownership.writers(live)
+        candidates = self._candidates()
+        writers = ownership.writers(candidates)
         if self.replica.host in writers:
             rank = writers.index(self.replica.host)
-            await self._extend(live, rank)
+            await self._extend(candidates, rank)
 
     async def schedule_covering(
         self, timestamp_ms: int
     ) -> ownership.Schedule | None:
-        """Return a schedule that covers `timestamp_ms`, None if unavailable.
+        """Return the schedule if it covers `timestamp_ms`, else None.
 
-        Waiting calls share a read of the store, at most one in
-        `REFRESH_INTERVAL_S`.
+        A key past the horizon causes a read of the store, at most one in
+        `REFRESH_INTERVAL_S`, for which concurrent calls wait together.
         """
         if not self._covers(timestamp_ms) and self._is_past_horizon(
             timestamp_ms
@@ -185,9 +188,9 @@
         from the store would expire.
         """
         others = [
-            one
-            for one in self.replica.fleet.live()
-            if one.host != self.replica.host
+            record
+            for record in self.replica.fleet.live()
+            if record.host != self.replica.host
         ]
         if not others:
             return
@@ -215,10 +218,10 @@
 
     def _candidates(self) -> dict[str, ownership.Candidate]:
         return {
-            one.host: ownership.Candidate(
-                one.host, one.availability_zone, one.incarnation
+            record.host: ownership.Candidate(
+                record.host, record.availability_zone, record.incarnation
             )
-            for one in self.replica.fleet.live()
+            for record in self.replica.fleet.live()
         }
 
     async def _read(self) -> bool:
@@ -267,16 +270,16 @@
         self.counts.add('schedule.adopted')
 
     async def _extend(
-        self, live: dict[str, ownership.Candidate], rank: int = 0
+        self, candidates: dict[str, ownership.Candidate], rank: int = 0
     ) -> None:
         now_ms = self.now_ms()
         if self.current is None:
-            new = ownership.initial_schedule(live.values(), now_ms)
+            new = ownership.initial_schedule(candidates.values(), now_ms)
         elif ownership.needs_extension(
             self.current, now_ms, self.lead_ms, rank
         ):
             new = ownership.extend_schedule(
-                self.current, live.values(), now_ms, self.lead_ms
+                self.current, candidates.values(), now_ms, self.lead_ms
             )
         else:
             return
