--- a/src/peridotpost/store/etcd.py
+++ b/src/peridotpost/store/etcd.py
@@ -40,7 +40,7 @@
 
     :param endpoints: base URLs; after a failure the next one is used.
     :param timeout_s: timeout of one call.
-    :param watch_s: maximum duration of a watch.  It bounds how long a
+    :param max_watch_s: maximum duration of a watch.  It bounds how long a
         silently lost connection goes unnoticed.
     """
 
@@ -48,12 +48,12 @@
         self,
         endpoints: Sequence[str],
         timeout_s: float,
-        watch_s: float,
+        max_watch_s: float,
         counts: counters.Counters,
     ) -> None:
         self.endpoints = tuple(endpoints)
         self.timeout_s = timeout_s
-        self.max_watch_s = watch_s
+        self.max_watch_s = max_watch_s
         self.counts = counts
         self.endpoint = self.endpoints[0]
         self.client = simple_httpclient.SimpleAsyncHTTPClient(
@@ -149,10 +149,10 @@
     ) -> AsyncGenerator[
         result.Result[store.KeyValue, errors.StoreError], None
     ]:
-        until = asyncio.get_running_loop().time() + self.max_watch_s
+        deadline = asyncio.get_running_loop().time() + self.max_watch_s
         failure: errors.StoreError | None = None
         async with contextlib.aclosing(
-            self._watch_once(key, from_revision, until)
+            self._watch_once(key, from_revision, deadline)
         ) as items:
             async for item in items:
                 if isinstance(item, result.Err):
@@ -176,17 +176,17 @@
         if latest is not None and latest.revision >= from_revision:
             yield result.Ok(latest)
         async with contextlib.aclosing(
-            self._watch_once(key, snapshot.revision + 1, until)
+            self._watch_once(key, snapshot.revision + 1, deadline)
         ) as items:
             async for item in items:
                 yield item
 
     async def _watch_once(
-        self, key: str, from_revision: int, until: float
+        self, key: str, from_revision: int, deadline: float
     ) -> AsyncGenerator[
         result.Result[store.KeyValue, errors.StoreError], None
     ]:
-        """Watch until an ``Err`` or until the loop's time is `until`."""
+        """Watch until an ``Err`` or until `deadline` on the loop's clock."""
         self.counts.add('store.watch')
         endpoint = self.endpoint
         request = {
@@ -209,7 +209,7 @@
                         yield item
                         if item.is_err():
                             return
-                    remaining_s = until - asyncio.get_running_loop().time()
+                    remaining_s = deadline - asyncio.get_running_loop().time()
                     try:
                         line = await stream.next_line(remaining_s)
                     except TimeoutError:
@@ -235,7 +235,9 @@
             message = etcdmessages.parse_watch_message(line, key)
         except etcdmessages.DECODE_ERRORS as error:
             return [
-                result.Err(self._garbage_error('watch', endpoint, repr(error)))
+                result.Err(
+                    self._protocol_error('watch', endpoint, repr(error))
+                )
             ]
         if message.compact_revision:
             return [
@@ -288,7 +290,7 @@
             )
         except etcdmessages.DECODE_ERRORS as error:
             return result.Err(
-                self._garbage_error(method, endpoint, repr(error))
+                self._protocol_error(method, endpoint, repr(error))
             )
 
     def _request(
@@ -322,7 +324,7 @@
                 step, endpoint, RuntimeError(detail)
             )
         if status < BAD_REQUEST or (status == NOT_FOUND and not not_found):
-            return self._garbage_error(step, endpoint, detail)
+            return self._protocol_error(step, endpoint, detail)
         self.counts.add('store.refused')
         kind: type[errors.StoreRefused] = errors.StoreRefused
         hint = 'the service does not accept this request'
@@ -343,7 +345,7 @@
             peer=endpoint,
         )
 
-    def _garbage_error(
+    def _protocol_error(
         self, step: str, endpoint: str, detail: str
     ) -> errors.StoreProtocolError:
         self.counts.add('store.garbage')
@@ -369,11 +371,11 @@
 def etcd_store(
     endpoints: Sequence[str],
     timeout_s: float,
-    watch_s: float,
+    max_watch_s: float,
     counts: counters.Counters,
 ) -> Iterator[EtcdStore]:
     """Yield an :class:`EtcdStore` and close its connections on exit."""
-    opened = EtcdStore(endpoints, timeout_s, watch_s, counts)
+    opened = EtcdStore(endpoints, timeout_s, max_watch_s, counts)
     try:
         yield opened
     finally:
--- a/src/peridotpost/store/etcdmessages.py
+++ b/src/peridotpost/store/etcdmessages.py
@@ -84,12 +84,14 @@
     A 404 response without this code means a wrong address.
     """
     try:
-        return number(parse_json_object(raw).get('code')) == NOT_FOUND_CODE
+        return (
+            parse_integer(parse_json_object(raw).get('code')) == NOT_FOUND_CODE
+        )
     except DECODE_ERRORS:
         return False
 
 
-def number(raw: Any) -> int:
+def parse_integer(raw: Any) -> int:
     """Parse a 64-bit integer, which the gateway encodes as a string."""
     if isinstance(raw, str) and len(raw) < 21:
         return int(raw)
@@ -99,7 +101,7 @@
 
 
 def parse_positive(raw: Any) -> int:
-    parsed = number(raw)
+    parsed = parse_integer(raw)
     if parsed <= 0:
         raise ValueError(f'{parsed} is not positive')
     return parsed
@@ -139,12 +141,12 @@
     answer = body['result']
     if parse_positive(answer['ID']) != lease:
         raise ValueError('response is for another lease')
-    return number(answer.get('TTL', 0)) > 0
+    return parse_integer(answer.get('TTL', 0)) > 0
 
 
 def parse_watch_message(line: bytes, key: str) -> WatchMessage:
     message = parse_json_object(line)['result']
-    compacted = number(message.get('compact_revision', 0))
+    compacted = parse_integer(message.get('compact_revision', 0))
     writes = [
         _parse_key_value(event['kv'])
         for event in _list_field(message, 'events')
@@ -178,5 +180,5 @@
         key=base64.b64decode(kv['key'], validate=True).decode(),
         value=base64.b64decode(kv.get('value', ''), validate=True),
         revision=parse_positive(kv['mod_revision']),
-        lease=number(kv.get('lease', 0)),
+        lease=parse_integer(kv.get('lease', 0)),
     )
--- a/src/peridotpost/store/linestream.py
+++ b/src/peridotpost/store/linestream.py
@@ -20,6 +20,7 @@
 """Bounds memory if the service never ends a line.  A line carries a few
 changes of values of up to 1 MB, which base64 makes a third longer."""
 MAX_STREAM_BYTES = 1 << 40
+"""Practically unlimited; tornado's default would end a stream after 100 MB."""
 OK = 200
 
 
@@ -75,13 +76,13 @@
         self.lines.put_nowait(StreamError(message, status))
         self.stream.close()
 
-    async def next_line(self, wait_s: float) -> bytes:
+    async def next_line(self, timeout_s: float) -> bytes:
         """Return the next line.
 
         :raises StreamError: the stream has ended.
-        :raises TimeoutError: no line arrived within `wait_s` seconds.
+        :raises TimeoutError: no line arrived within `timeout_s` seconds.
         """
-        item = await asyncio.wait_for(self.lines.get(), wait_s)
+        item = await asyncio.wait_for(self.lines.get(), timeout_s)
         if isinstance(item, StreamError):
             raise item
         return item
@@ -89,12 +90,12 @@
 
 @contextlib.asynccontextmanager
 async def open_line_stream(
-    url: str, body: bytes, connect_s: float
+    url: str, body: bytes, connect_timeout_s: float
 ) -> AsyncIterator[LineStream]:
     """Post `body` to `url` and yield the response as a stream of lines.
 
     :raises OSError: the service cannot be reached.
-    :raises TimeoutError: not connected within `connect_s` seconds.
+    :raises TimeoutError: not connected within `connect_timeout_s` seconds.
     """
     parts = urllib.parse.urlsplit(url)
     secure = parts.scheme == 'https'
@@ -106,7 +107,7 @@
             parts.hostname or '',
             port,
             ssl_options=options,
-            timeout=connect_s,
+            timeout=connect_timeout_s,
         )
         async with _open_response(stream, parts, body) as lines:
             yield lines
--- a/src/peridotpost/store/store.py
+++ b/src/peridotpost/store/store.py
@@ -52,10 +52,11 @@
     Failures are returned as ``Err``, never raised:
 
     - ``StoreUnavailable``: no response, so a write may have taken effect.
-    - ``StoreGarbage``: an invalid response; a write may have taken effect.
+    - ``StoreProtocolError``: an invalid response; a write may have taken
+      effect.
     - ``StoreRefused``: the service rejected the call and wrote nothing.
       Its subclasses are ``StoreOverloaded`` (over quota) and
-      ``LeaseLapsed``.
+      ``LeaseExpired``.
     """
 
     async def read(
