--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -5,7 +5,7 @@
 takes bounded memory and skips superseded versions.
 
 A :class:`Link` does no I/O: `next_frame` returns what to send and
-`handle_frame` processes what was received.  Tests can so delay, reorder,
+`handle_frame` processes what was received.  So tests can delay, reorder,
 repeat and corrupt frames without a network.  ``streams`` does the I/O.
 """
 
@@ -46,7 +46,7 @@
         self.incarnation = incarnation
         self.zone = zone
         self.links: list[Link] = []
-        replica.changed.subscribe(self.spread)
+        replica.changed.subscribe(self.forward)
         replica.interest_changed.subscribe(lambda _: self.resend_hello())
 
     @property
@@ -64,9 +64,10 @@
         self.links.remove(link)
         self.report_progress()
 
-    def spread(self, change: replicas.FactChange) -> None:
+    def forward(self, change: replicas.FactChange) -> None:
+        """Mark a changed fact for sending on every link."""
         for link in self.links:
-            link.note(change)
+            link.mark_changed(change)
         if change.version is not None:
             self.report_progress()
 
@@ -119,12 +120,12 @@
         self.ping: Ping | None = None
         self.reported_progress: progress.Progress | None = None
         self.subtree_progress = progress.NO_PROGRESS
-        self.heard = True
+        self.heard_since_heartbeat = True
         self.missed_heartbeats = 0
         self.wake = asyncio.Event()
         self.over = asyncio.Event()
 
-    def note(self, change: replicas.FactChange) -> None:
+    def mark_changed(self, change: replicas.FactChange) -> None:
         """Mark a changed fact for sending unless it came from this peer."""
         if change.source == self.peer:
             return
@@ -142,11 +143,11 @@
         would receive no further version; TCP alone takes minutes.
         """
         if self.ping is not None and await self.ping(self.peer):
-            self.heard = True
+            self.heard_since_heartbeat = True
         self.missed_heartbeats = (
-            0 if self.heard else self.missed_heartbeats + 1
+            0 if self.heard_since_heartbeat else self.missed_heartbeats + 1
         )
-        self.heard = False
+        self.heard_since_heartbeat = False
         if self.missed_heartbeats >= MAX_MISSED_HEARTBEATS:
             self.counts.add('link.silent')
             self.over.set()
@@ -242,7 +243,7 @@
         :raises errors.CodecError: the frame is invalid; nothing of it was
             applied, and the link must end.
         """
-        self.heard = True
+        self.heard_since_heartbeat = True
         kind = frame.WhichOneof('body')
         if kind == 'hello':
             self._handle_hello(frame.hello)
@@ -270,12 +271,14 @@
         self.interest = wire.interest_from_wire(hello.interest)
         scoped = self.replica.version.narrow(self.interest)
         holding = versions.Holding(scoped, self.interest)
-        same = (
+        holds_same = (
             scoped.revision == hello.revision
             and holding.digest == hello.config_digest
         )
-        self.peer_version = scoped if same else config.NO_CONFIG
-        self.dirty_config = hello.revision <= scoped.revision and not same
+        self.peer_version = scoped if holds_same else config.NO_CONFIG
+        self.dirty_config = (
+            hello.revision <= scoped.revision and not holds_same
+        )
         if len(hello.member_sums) not in (0, len(self.replica.fleet.sums)):
             raise errors.CodecError(
                 'unexpected number of member sums',
@@ -340,7 +343,7 @@
 
 
 def hello_message(link: Link) -> control_pb2.Hello:
-    """Return the Hello with which this daemon introduces itself."""
+    """Return the first frame to the peer: what this daemon holds."""
     replica = link.replica
     return control_pb2.Hello(
         host=replica.host,
--- a/src/peridotpost/distribution/reconcile.py
+++ b/src/peridotpost/distribution/reconcile.py
@@ -20,6 +20,7 @@
 
 TIMEOUT_S = 2.0
 CROSS_ZONE_SHARE = 0.25
+"""Share of the exchanges that go to a member of a remote zone."""
 
 
 class Reconciler:
@@ -39,23 +40,26 @@
         self.dial: dialling.Dial = dialling.dial
 
     def pick_address(self) -> str | None:
-        """Return the next peer's address, mostly within the zone."""
+        """Return the address of a random live member, mostly of this zone.
+
+        Returns None if no other member is known.
+        """
         live = [
             record
             for record in self.replica.fleet.live()
             if record.host != self.replica.host
         ]
-        same_zone = [
+        zone_members = [
             record for record in live if record.availability_zone == self.zone
         ]
-        other_zones = [
+        remote_members = [
             record for record in live if record.availability_zone != self.zone
         ]
         cross_zone = self.randomness.random() < CROSS_ZONE_SHARE
         peers = (
-            (other_zones or same_zone)
+            (remote_members or zone_members)
             if cross_zone
-            else (same_zone or other_zones)
+            else (zone_members or remote_members)
         )
         if not peers:
             return None
--- a/src/peridotpost/distribution/replica.py
+++ b/src/peridotpost/distribution/replica.py
@@ -92,11 +92,13 @@
         self, update: versions.ConfigUpdate, source: str
     ) -> versions.Verdict:
         """Apply an update as ``decisions.versions`` decides."""
-        judgement = versions.apply_update(self.holding, self.interest, update)
-        self.counts.add(f'config.{judgement.verdict.value}')
-        if judgement.verdict is versions.Verdict.APPLIED:
-            self._replace_holding(judgement.holding, source)
-        return judgement.verdict
+        update_result = versions.apply_update(
+            self.holding, self.interest, update
+        )
+        self.counts.add(f'config.{update_result.verdict.value}')
+        if update_result.verdict is versions.Verdict.APPLIED:
+            self._replace_holding(update_result.holding, source)
+        return update_result.verdict
 
     def offer_full_version(
         self, version: config.ConfigVersion, source: str
--- a/src/peridotpost/distribution/storewatcher.py
+++ b/src/peridotpost/distribution/storewatcher.py
@@ -48,36 +48,39 @@
         self.watching: asyncio.Task[None] | None = None
         self.last_revision = 0
         self.reachable = True
-        self.garbage = False
+        self.response_invalid = False
         self.last_rejection = ''
 
-    def set_position(self, place: tree.TreePosition) -> None:
+    def set_position(self, position: tree.TreePosition) -> None:
         """Run the watch exactly while this daemon is a relay."""
-        if place.has_children:
+        if position.has_children:
             # The full configuration is kept even after the position
             # changes: in a partitioned zone this daemon may be the only
             # one that has it, and its successor fetches it from here.
             self.replica.set_interest(config.EVERYTHING)
-        if place.relay and self.watching is None:
+        if position.relay and self.watching is None:
             self.watching = asyncio.ensure_future(self._run())
             logs.state_changed('relay', to='on')
-        elif not place.relay and self.watching is not None:
+        elif not position.relay and self.watching is not None:
             self.watching.cancel()
             self.watching = None
             logs.state_changed('relay', to='off')
 
     async def read_once(self) -> bool:
-        """Read the head; False if the store gave no valid response."""
+        """Read the current version; return whether this succeeded.
+
+        Returns False if the store is unreachable or its response invalid.
+        """
         head = await versions.read_head(self.platform, self.mesh)
         if isinstance(head, result.Err):
-            self.garbage = isinstance(
+            self.response_invalid = isinstance(
                 head.err_value, errors.StoreProtocolError
             )
-            if self.garbage:
+            if self.response_invalid:
                 self._note_rejected(head.err_value)
             self._note_unreachable(head.err_value)
             return False
-        self.garbage = False
+        self.response_invalid = False
         self._note_reachable()
         if head.ok_value is not None:
             self._offer_version(head.ok_value)
@@ -89,7 +92,7 @@
             try:
                 # Also watch if the head is damaged, to receive the valid
                 # version that replaces it without delay.
-                read = await self.read_once() or self.garbage
+                read = await self.read_once() or self.response_invalid
                 succeeded = read and await self._watch_once()
             except Exception:
                 # If a bug ended the watch, the relay would receive no
--- a/src/peridotpost/distribution/uplinks.py
+++ b/src/peridotpost/distribution/uplinks.py
@@ -34,7 +34,8 @@
 """Delay between a change of the fleet and the new plan, so that the loss of
 a rack causes one plan instead of forty."""
 REPORTING_UPLINKS = frozenset({'parent', 'mate'})
-"""Uplinks towards the zone's first relay, which collects the progress."""
+"""Names of uplinks towards the zone's first relay, which collects the
+progress.  'mate' is the stream of another relay of the zone to it."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -51,7 +52,7 @@
 
 
 class UplinkManager:
-    """Maintains a stream to the parent or, on a relay, to other zones."""
+    """Maintains a stream to the parent or, on a relay, to remote zones."""
 
     def __init__(
         self,
@@ -108,7 +109,7 @@
                 self.position.parents, self.suspected()
             )
             return {'parent': parents or self.bootstrap}
-        others = [
+        remote_zones = [
             tree.ZoneRelays(
                 zone,
                 tuple(
@@ -119,7 +120,7 @@
             if zone != self.zone
         ]
         peers = tree.links_between_zones(
-            self.replica.host, self.zone, hosts, others
+            self.replica.host, self.zone, hosts, remote_zones
         )
         desired: dict[str, tuple[str, ...]] = {
             f'zone-of-{peer}': (peer,) for peer in peers
@@ -156,7 +157,7 @@
         self._open(name, candidates)
 
     async def _maintain(self, name: str, candidates: tuple[str, ...]) -> None:
-        choice = pacing.ParentSelector(self.randomness)
+        selector = pacing.ParentSelector(self.randomness)
         clock = self.replica.clock
         while not tasks.cancelled():
             uplink = self.by_name.get(name)
@@ -165,8 +166,8 @@
             if not candidates:
                 await asyncio.sleep(REPLAN_DELAY_S)
                 continue
-            choice.retain(candidates)
-            peer, wait_s = choice.choose(candidates, clock.now())
+            selector.retain(candidates)
+            peer, wait_s = selector.choose(candidates, clock.now())
             if wait_s:
                 await asyncio.sleep(wait_s)
                 continue
@@ -176,9 +177,9 @@
             refusal = await self._try_peer(name, peer)
             now = clock.now()
             if refusal is None:
-                choice.record_end(peer, now, now - started_at)
+                selector.record_end(peer, now, now - started_at)
             else:
-                choice.refused(peer, now, refusal.come_back_ms / 1000)
+                selector.refused(peer, now, refusal.come_back_ms / 1000)
 
     async def _try_peer(
         self, name: str, peer: str
--- a/src/peridotpost/distribution/wire.py
+++ b/src/peridotpost/distribution/wire.py
@@ -66,7 +66,9 @@
             probe_port=message.probe_port,
             call_port=message.call_port,
             admin_port=message.admin_port,
-            targets=tuple(_target(target) for target in message.targets),
+            targets=tuple(
+                _target_from_wire(target) for target in message.targets
+            ),
         )
     except ValueError as error:
         raise errors.CodecError(
@@ -74,7 +76,7 @@
         ) from error
 
 
-def _target(message: control_pb2.Target) -> members.TargetRecord:
+def _target_from_wire(message: control_pb2.Target) -> members.TargetRecord:
     return members.TargetRecord(
         service=message.service,
         name=message.name,
