--- a/src/peridotpost/kernel/counters.py
+++ b/src/peridotpost/kernel/counters.py
@@ -8,7 +8,7 @@
 
     def __init__(self) -> None:
         self.totals: collections.Counter[str] = collections.Counter()
-        self.sent: collections.Counter[str] = collections.Counter()
+        self.exported: collections.Counter[str] = collections.Counter()
 
     def add(self, name: str, amount: int = 1) -> None:
         self.totals[name] += amount
@@ -16,9 +16,9 @@
     def take_unsent(self) -> dict[str, int]:
         """Return the increments since the last call."""
         differences = {
-            name: total - self.sent[name]
+            name: total - self.exported[name]
             for name, total in self.totals.items()
-            if total != self.sent[name]
+            if total != self.exported[name]
         }
-        self.sent = collections.Counter(self.totals)
+        self.exported = collections.Counter(self.totals)
         return differences
--- a/src/peridotpost/kernel/dialling.py
+++ b/src/peridotpost/kernel/dialling.py
@@ -35,14 +35,14 @@
     if ip is None:
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(timeout_s):
-            rows = await loop.getaddrinfo(
+            resolved = await loop.getaddrinfo(
                 address, port, type=socket.SOCK_STREAM
             )
-        ip = ipaddress.ip_address(str(rows[0][4][0]))
+        ip = ipaddress.ip_address(str(resolved[0][4][0]))
     family = socket.AF_INET if ip.version == 4 else socket.AF_INET6
-    plain = socket.socket(family)
-    plain.setblocking(False)
-    stream = iostream.IOStream(plain)
+    tcp_socket = socket.socket(family)
+    tcp_socket.setblocking(False)
+    stream = iostream.IOStream(tcp_socket)
     opening = asyncio.ensure_future(stream.connect((str(ip), port)))
     try:
         await asyncio.wait({opening}, timeout=timeout_s)
--- a/src/peridotpost/kernel/jsonlog.py
+++ b/src/peridotpost/kernel/jsonlog.py
@@ -50,12 +50,12 @@
         if self.try_reserve(logbudget.LinePriority.OUTCOME):
             self.write(decision, fields)
 
-    def try_reserve(self, weight: logbudget.LinePriority) -> bool:
+    def try_reserve(self, priority: logbudget.LinePriority) -> bool:
         """Take tokens for a line about a request.
 
         Returns False and counts the line as left out if there are too few.
         """
-        if self.budget.try_take(weight, self.wall()):
+        if self.budget.try_take(priority, self.wall()):
             return True
         self.left_out += 1
         return False
