--- a/src/peridotpost/daemon/control.py
+++ b/src/peridotpost/daemon/control.py
@@ -114,21 +114,21 @@
     rng = kernel.find('randomness', random.Random)
     store = kernel.find('store', etcd.EtcdStore)
     zone = settings.availability_zone
-    uplink_set = uplinks.UplinkManager(
+    uplink_manager = uplinks.UplinkManager(
         replica,
         kernel.find('links', links.LinkTable),
         counts,
         zone,
         rng,
     )
-    uplink_set.ping = kernel.find('prober', probing.Prober).answers
-    kernel.register('uplinks', uplink_set)
+    uplink_manager.ping = kernel.find('prober', probing.Prober).answers
+    kernel.register('uplinks', uplink_manager)
     kernel.register(
         'reconciler', reconcile.Reconciler(replica, counts, zone, rng)
     )
     source = sources.StoreWatcher(store, settings.mesh, replica, counts, rng)
     kernel.register('source', source)
-    uplink_set.position_listeners.append(source.set_position)
+    uplink_manager.position_listeners.append(source.set_position)
     kernel.register(
         'seeds',
         seeds.SeedKeeper(
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -27,6 +27,7 @@
 from peridotpost.model import members
 
 RECONCILE_JITTER = 0.5
+"""Fraction of the period by which the interval of reconciliations varies."""
 FORGET_INTERVAL_S = 60.0
 
 
@@ -101,15 +102,15 @@
     settings = kernel.find('settings', settings_border.DaemonSettings)
     rng = kernel.find('randomness', random.Random)
     source = kernel.find('source', sources.StoreWatcher)
-    uplink_set = kernel.find('uplinks', uplinks.UplinkManager)
-    keeper = kernel.find('seeds', seeds.SeedKeeper)
+    uplink_manager = kernel.find('uplinks', uplinks.UplinkManager)
+    seed_keeper = kernel.find('seeds', seeds.SeedKeeper)
     own_address = kernel.find(
         'myself', myself.LocalMember
     ).record.control_address
     pacing = seed_rules.StartPacing(rng, settings.timing.start_spread_s)
     await asyncio.sleep(pacing.first_delay())
     while True:
-        stored_seeds = await keeper.find(settings.availability_zone, rng)
+        stored_seeds = await seed_keeper.find(settings.availability_zone, rng)
         store_read = False
         addresses = list(settings.peers)
         rng.shuffle(addresses)
@@ -127,7 +128,7 @@
         addresses = [
             address for address in addresses if address != own_address
         ]
-        uplink_set.bootstrap = tuple(addresses)
+        uplink_manager.bootstrap = tuple(addresses)
         if await _ask_peers(kernel, store_read, addresses):
             return
         await asyncio.sleep(pacing.next_delay())
@@ -136,7 +137,7 @@
 async def _ask_peers(
     kernel: registry.ServiceRegistry, store_read: bool, addresses: list[str]
 ) -> bool:
-    """Ask peers in small groups until enough of them have a version."""
+    """Ask peers in small groups; return whether enough have a version."""
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
     group_size = version_rules.MIN_STARTUP_PEERS
     with_version = 0
