--- a/src/peridotpost/daemon/control.py
+++ b/src/peridotpost/daemon/control.py
@@ -126,9 +126,11 @@
     kernel.register(
         'reconciler', reconcile.Reconciler(replica, counts, zone, rng)
     )
-    source = sources.StoreWatcher(store, settings.mesh, replica, counts, rng)
-    kernel.register('source', source)
-    uplink_manager.position_listeners.append(source.set_position)
+    store_watcher = sources.StoreWatcher(
+        store, settings.mesh, replica, counts, rng
+    )
+    kernel.register('source', store_watcher)
+    uplink_manager.position_listeners.append(store_watcher.set_position)
     kernel.register(
         'seeds',
         seeds.SeedKeeper(
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -43,9 +43,9 @@
         await stack.enter_async_context(
             uplinks.holding(kernel.find('uplinks', uplinks.UplinkManager))
         )
-        finder = discovery.MemberDiscovery(kernel)
-        _subscribe_timers(kernel, finder)
-        await finder.discover_members()
+        member_discovery = discovery.MemberDiscovery(kernel)
+        _subscribe_timers(kernel, member_discovery)
+        await member_discovery.discover_members()
         await _follow_schedule(kernel)
         local_member = kernel.find('myself', myself.LocalMember)
         local_member.stage = myself.Stage.READY
@@ -101,7 +101,7 @@
     """
     settings = kernel.find('settings', settings_border.DaemonSettings)
     rng = kernel.find('randomness', random.Random)
-    source = kernel.find('source', sources.StoreWatcher)
+    store_watcher = kernel.find('source', sources.StoreWatcher)
     uplink_manager = kernel.find('uplinks', uplinks.UplinkManager)
     seed_keeper = kernel.find('seeds', seeds.SeedKeeper)
     own_address = kernel.find(
@@ -115,7 +115,7 @@
         addresses = list(settings.peers)
         rng.shuffle(addresses)
         if isinstance(stored_seeds, result.Ok):
-            store_read = await source.read_once()
+            store_read = await store_watcher.read_once()
             addresses += [
                 seed.control_address for seed in stored_seeds.ok_value
             ]
@@ -154,7 +154,8 @@
 
 
 def _subscribe_timers(
-    kernel: registry.ServiceRegistry, finder: discovery.MemberDiscovery
+    kernel: registry.ServiceRegistry,
+    member_discovery: discovery.MemberDiscovery,
 ) -> None:
     timing = kernel.find('settings', settings_border.DaemonSettings).timing
     clock = kernel.find('timers', timers.TimerService)
@@ -176,7 +177,9 @@
         reconciler.tick,
         RECONCILE_JITTER,
     )
-    clock.subscribe('seeds', timing.seed_period_s, finder.maintain_seed)
+    clock.subscribe(
+        'seeds', timing.seed_period_s, member_discovery.maintain_seed
+    )
     clock.subscribe(
         'target-expiry',
         timing.target_ttl_s / local_targets.EXPIRY_CHECKS_PER_TTL,
--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -202,13 +202,18 @@
             hosts = sorted(self.dirty_hosts)[:MEMBERS_PER_MESSAGE]
             self.dirty_hosts.difference_update(hosts)
             records = self.replica.fleet.records
-            known = [records[host] for host in hosts if host in records]
-            if update is None and not known:
+            changed_records = [
+                records[host] for host in hosts if host in records
+            ]
+            if update is None and not changed_records:
                 continue
             return control_pb2.Frame(
                 facts=control_pb2.Facts(
                     config=update,
-                    members=[wire.member_to_wire(record) for record in known],
+                    members=[
+                        wire.member_to_wire(record)
+                        for record in changed_records
+                    ],
                 )
             )
         return None
--- a/src/peridotpost/distribution/replica.py
+++ b/src/peridotpost/distribution/replica.py
@@ -147,14 +147,15 @@
             # once, and a line for each took most of its join.
             self.counts.add('member.met')
             return
-        old = before.status.name if before is not None else 'unknown'
+        old_status = before.status.name if before is not None else 'unknown'
         self.events.record(
-            'member.status', f'{record.host} {old} -> {record.status.name}'
+            'member.status',
+            f'{record.host} {old_status} -> {record.status.name}',
         )
         logs.state_changed(
             'member',
             member=record.host,
-            from_status=old,
+            from_status=old_status,
             to_status=record.status.name,
             incarnation=record.incarnation,
         )
--- a/src/peridotpost/kernel/tasks.py
+++ b/src/peridotpost/kernel/tasks.py
@@ -26,12 +26,12 @@
     never stopped because its uplink was cancelled just as its peer left,
     lost the cancellation here and went on dialling.
     """
-    left = set(ending)
-    while left:
+    unfinished = set(ending)
+    while unfinished:
         # A task may lose a cancellation, see `cancelled`.
-        for task in left:
+        for task in unfinished:
             task.cancel()
-        _, left = await asyncio.wait(left, timeout=CANCEL_RETRY_S)
+        _, unfinished = await asyncio.wait(unfinished, timeout=CANCEL_RETRY_S)
     for task in ending:
         if not task.cancelled():
             task.exception()
