--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -27,6 +27,7 @@
 from peridotpost.model import members
 
 RECONCILE_JITTER = 0.5
+"""Fraction of the period by which the interval of reconciliations varies."""
 FORGET_INTERVAL_S = 60.0
 
 
@@ -42,9 +43,9 @@
         await stack.enter_async_context(
             uplinks.holding(kernel.find('uplinks', uplinks.UplinkManager))
         )
-        finder = discovery.MemberDiscovery(kernel)
-        _subscribe_timers(kernel, finder)
-        await finder.discover_members()
+        member_discovery = discovery.MemberDiscovery(kernel)
+        _subscribe_timers(kernel, member_discovery)
+        await member_discovery.discover_members()
         await _follow_schedule(kernel)
         local_member = kernel.find('myself', myself.LocalMember)
         local_member.stage = myself.Stage.READY
@@ -100,21 +101,21 @@
     """
     settings = kernel.find('settings', settings_border.DaemonSettings)
     rng = kernel.find('randomness', random.Random)
-    source = kernel.find('source', sources.StoreWatcher)
-    uplink_set = kernel.find('uplinks', uplinks.UplinkManager)
-    keeper = kernel.find('seeds', seeds.SeedKeeper)
+    store_watcher = kernel.find('source', sources.StoreWatcher)
+    uplink_manager = kernel.find('uplinks', uplinks.UplinkManager)
+    seed_keeper = kernel.find('seeds', seeds.SeedKeeper)
     own_address = kernel.find(
         'myself', myself.LocalMember
     ).record.control_address
     pacing = seed_rules.StartPacing(rng, settings.timing.start_spread_s)
     await asyncio.sleep(pacing.first_delay())
     while True:
-        stored_seeds = await keeper.find(settings.availability_zone, rng)
+        stored_seeds = await seed_keeper.find(settings.availability_zone, rng)
         store_read = False
         addresses = list(settings.peers)
         rng.shuffle(addresses)
         if isinstance(stored_seeds, result.Ok):
-            store_read = await source.read_once()
+            store_read = await store_watcher.read_once()
             addresses += [
                 seed.control_address for seed in stored_seeds.ok_value
             ]
@@ -127,7 +128,7 @@
         addresses = [
             address for address in addresses if address != own_address
         ]
-        uplink_set.bootstrap = tuple(addresses)
+        uplink_manager.bootstrap = tuple(addresses)
         if await _ask_peers(kernel, store_read, addresses):
             return
         await asyncio.sleep(pacing.next_delay())
@@ -136,7 +137,7 @@
 async def _ask_peers(
     kernel: registry.ServiceRegistry, store_read: bool, addresses: list[str]
 ) -> bool:
-    """Ask peers in small groups until enough of them have a version."""
+    """Ask peers in small groups; return whether enough have a version."""
     reconciler = kernel.find('reconciler', reconcile.Reconciler)
     group_size = version_rules.MIN_STARTUP_PEERS
     with_version = 0
@@ -153,7 +154,8 @@
 
 
 def _subscribe_timers(
-    kernel: registry.ServiceRegistry, finder: discovery.MemberDiscovery
+    kernel: registry.ServiceRegistry,
+    member_discovery: discovery.MemberDiscovery,
 ) -> None:
     timing = kernel.find('settings', settings_border.DaemonSettings).timing
     clock = kernel.find('timers', timers.TimerService)
@@ -175,7 +177,9 @@
         reconciler.tick,
         RECONCILE_JITTER,
     )
-    clock.subscribe('seeds', timing.seed_period_s, finder.maintain_seed)
+    clock.subscribe(
+        'seeds', timing.seed_period_s, member_discovery.maintain_seed
+    )
     clock.subscribe(
         'target-expiry',
         timing.target_ttl_s / local_targets.EXPIRY_CHECKS_PER_TTL,
