--- a/src/peridotpost/experiment/bound.py
+++ b/src/peridotpost/experiment/bound.py
@@ -92,7 +92,9 @@
         [_slot_time_s(scenario, route, service) for route in entry_routes]
         for service in services
     ]
-    capacity = [_slots(scenario, one, phases) for one in services]
+    capacity = [
+        _slots(scenario, known_service, phases) for known_service in services
+    ]
     solution = optimize.linprog(
         [-entry_route.worth for entry_route in entry_routes],
         A_ub=slot_time,
@@ -111,8 +113,8 @@
         if -marginal > MIN_SLOT_WORTH
     }
     served = {
-        entry_route.name: float(part) / rate
-        for entry_route, part, rate in zip(
+        entry_route.name: float(served_rate) / rate
+        for entry_route, served_rate, rate in zip(
             entry_routes, solution.x, rates, strict=True
         )
     }
@@ -130,13 +132,13 @@
 
     A run holds its slot until the slowest of its calls is answered.
     """
-    routes = {one.name: one for one in scenario.routes}
+    routes = {known_route.name: known_route for known_route in scenario.routes}
     total_s = 0.0
     if route.service == service.name:
-        waits = [
+        call_times_ms = [
             call.share * routes[call.route].work_ms for call in route.calls
         ]
-        total_s += (route.work_ms + max(waits, default=0.0)) / MS_IN_S
+        total_s += (route.work_ms + max(call_times_ms, default=0.0)) / MS_IN_S
     for call in route.calls:
         called = routes[call.route]
         per_call_s = _slot_time_s(scenario, called, service)
@@ -149,14 +151,14 @@
     service: scenarios.Service,
     phases: list[scenarios.Phase],
 ) -> float:
-    """Return the slots of a service, each weighted by its target's speed."""
+    """Return the slots of a service, each divided by its run time factor."""
     count = service.count(scenario.zones)
     total = 0.0
     for index in range(count):
-        speed = service.speeds[index % len(service.speeds)]
+        factor = service.speeds[index % len(service.speeds)]
         for phase in phases:
             is_degraded = phase.ailing == service.name
             if is_degraded and index < phase.ailing_share * count:
-                speed *= phase.slower / max(1e-6, 1 - phase.sheds)
-        total += service.slots / speed
+                factor *= phase.slower / max(1e-6, 1 - phase.sheds)
+        total += service.slots / factor
     return total
--- a/src/peridotpost/experiment/clock.py
+++ b/src/peridotpost/experiment/clock.py
@@ -9,14 +9,14 @@
     """Runs callbacks at simulated times, in seconds.
 
     Callbacks of the same time run in the order in which they were added;
-    `done` counts the callbacks that have run.
+    `callbacks_run` counts the callbacks that have run.
     """
 
     def __init__(self) -> None:
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = itertools.count()
-        self.done = 0
+        self.callbacks_run = 0
 
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
         entry = (self.now + seconds, next(self.sequence), callback)
@@ -26,5 +26,5 @@
         """Run until no event is left."""
         while self.events:
             self.now, _, callback = heapq.heappop(self.events)
-            self.done += 1
+            self.callbacks_run += 1
             callback()
--- a/src/peridotpost/experiment/hosts.py
+++ b/src/peridotpost/experiment/hosts.py
@@ -40,34 +40,38 @@
         """Make a call of a target; `done` receives whether it succeeded."""
 
     def work_s(self, host: 'Host', route: scenarios.Route) -> float:
-        """Return a random run time."""
+        """Return a random run time in seconds, longer on a degraded target."""
 
-    def ailing(self, host: 'Host') -> scenarios.Phase | None:
+    def degrading_phase(self, host: 'Host') -> scenarios.Phase | None:
         """Return the current phase if it degrades the host's target."""
 
 
 class Host:
-    """A target with its guard, and the ingress beside it."""
+    """A target with its guard, and the ingress on the same host.
+
+    :ivar run_time_factor: factor on the run times of the target.
+    :ivar candidate_by_host: the ingress's view of the targets.
+    """
 
     def __init__(self, fleet: 'FleetContext', number: int, zone: int) -> None:
         self.name = f'z{zone}-{number}'
         self.zone = f'z{zone}'
         self.fleet = fleet
         self.service = ''
-        self.speed = 1.0
+        self.run_time_factor = 1.0
         self.queue = slots.SlotQueue(0, fleet.rng)
         self.selector = selection.Selector(self.zone, fleet.rng)
-        retries = fleet.scenario.retry_budget
+        budget_config = fleet.scenario.retry_budget
         self.budget = budget.RetryBudget(
-            retries.ratio, retries.extra, retries.window_s
+            budget_config.ratio, budget_config.extra, budget_config.window_s
         )
-        self.known: dict[str, targetstate.Candidate] = {}
+        self.candidate_by_host: dict[str, targetstate.Candidate] = {}
 
     def candidates(self, service: str) -> list[targetstate.Candidate]:
         """Return a service's targets as this host's ingress knows them."""
         service_targets = []
         for host in self.fleet.by_service[service]:
-            candidate = self.known.get(host.name)
+            candidate = self.candidate_by_host.get(host.name)
             if candidate is None:
                 candidate = targetstate.Candidate(
                     host.name,
@@ -76,7 +80,7 @@
                     slots=host.queue.slots,
                     ready=True,
                 )
-                self.known[host.name] = candidate
+                self.candidate_by_host[host.name] = candidate
             service_targets.append(candidate)
         return service_targets
 
@@ -127,7 +131,7 @@
         )
         if order.retry_cause:
             fleet.route_results[order.route].repeats += 1
-        phase = fleet.ailing(self)
+        phase = fleet.degrading_phase(self)
         if phase is not None and fleet.work_rng.random() < phase.sheds:
             decision = self.queue.release(order, fleet.clock.now)
             order.settle(SHED)
@@ -136,15 +140,15 @@
         work_s = fleet.work_s(self, route)
         pending = PendingRun(1)
 
-        def on_part_done(good: bool) -> None:
+        def on_part_done(succeeded: bool) -> None:
             pending.remaining_parts -= 1
-            pending.good = pending.good and good
+            pending.succeeded = pending.succeeded and succeeded
             if pending.remaining_parts:
                 return
-            if route.waits and pending.good:
+            if route.waits and pending.succeeded:
                 fleet.clock.after(work_s, lambda: self._finish(order, True))
             else:
-                self._finish(order, pending.good)
+                self._finish(order, pending.succeeded)
 
         for call in route.calls:
             if fleet.rng.random() < call.share:
@@ -154,15 +158,19 @@
         first_s = 0.0 if route.waits else work_s
         fleet.clock.after(first_s, lambda: on_part_done(True))
 
-    def _finish(self, order: forwarding.Order, good: bool) -> None:
+    def _finish(self, order: forwarding.Order, succeeded: bool) -> None:
         decision = self.queue.finish(order, self.fleet.clock.now)
-        order.settle(SUCCEEDED if good else FAILED)
+        order.settle(SUCCEEDED if succeeded else FAILED)
         self._apply(decision)
 
 
 @dataclasses.dataclass(slots=True)
 class PendingRun:
-    """Parts that a run still waits for, and whether all others succeeded."""
+    """Parts of a run: its own work and its calls.
+
+    :param remaining_parts: parts that are not done.
+    :param succeeded: whether all parts that are done succeeded.
+    """
 
     remaining_parts: int
-    good: bool = True
+    succeeded: bool = True
--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -21,6 +21,9 @@
 class PendingRequest:
     """A request that an ingress is handling.
 
+    :param deadline: simulated time at which the caller gives up.
+    :param objective: simulated time by which the answer is in time.
+    :param tried: hosts of the targets that the request was sent to.
     :param last_asked: whether the last-resort target was tried.
     :param over: whether the outcome was delivered.
     """
@@ -117,12 +120,14 @@
     def _choose_target(
         self, pending: PendingRequest
     ) -> targetstate.Candidate | None:
+        """Return the target of the next attempt; None to refuse."""
         now = self.fleet.clock.now
         host, route = pending.host, pending.route
         candidates = host.candidates(route.service)
         for candidate in candidates:
             if candidate.host == host.name:
                 candidate.report(host.queue.load, now)
+        # Once the objective is missed, the deadline counts.
         remaining_s = pending.objective - now
         if remaining_s <= 0:
             remaining_s = pending.deadline - now
@@ -136,8 +141,8 @@
                 now,
                 route.idempotent,
             )
-        repeat_refused = pending.attempts.budget_refusals > 0
-        if chosen is None and not pending.last_asked and not repeat_refused:
+        budget_refused = pending.attempts.budget_refusals > 0
+        if chosen is None and not pending.last_asked and not budget_refused:
             pending.last_asked = True
             chosen = host.selector.last_resort(candidates, route.name, now)
         return chosen
--- a/src/peridotpost/experiment/plot.py
+++ b/src/peridotpost/experiment/plot.py
@@ -5,7 +5,7 @@
 
 from peridotpost.experiment import results
 
-SHARES = tuple(step / 200 for step in range(1, 200))
+QUANTILES = tuple(step / 200 for step in range(1, 200))
 
 
 def draw(run_results: Sequence[results.Result], path: pathlib.Path) -> None:
@@ -24,10 +24,12 @@
         names = [
             name for name in run_result.routes if run_result.routes[name].owed
         ]
-        places = [position + index * width for position in range(len(names))]
+        bar_positions = [
+            position + index * width for position in range(len(names))
+        ]
         credit = [run_result.routes[name].credit_share for name in names]
         left.bar(
-            places,
+            bar_positions,
             credit,
             width,
             label=f'{run_result.policy}, {run_result.seed}',
@@ -35,9 +37,9 @@
         left.set_xticks(range(len(names)), names)
         for name in names:
             latency = run_result.routes[name].latency
-            times_ms = [latency.quantile(share) * 1000 for share in SHARES]
+            times_ms = [latency.quantile(share) * 1000 for share in QUANTILES]
             label = f'{run_result.policy} {name}'
-            right.plot(times_ms, SHARES, label=label)
+            right.plot(times_ms, QUANTILES, label=label)
     left.set_ylabel('credit earned of owed')
     right.set_ylabel('share of answers')
     right.set_xlabel('ms since the first attempt')
--- a/src/peridotpost/experiment/results.py
+++ b/src/peridotpost/experiment/results.py
@@ -15,8 +15,8 @@
         requests if each were answered within its objective.
     :param arrivals: dispatches that reached a target's process.
     :param repeats: runs of retried requests.
-    :param crossings: dispatches to another zone; `far_kilobytes` is their
-        traffic, `far_first_kilobytes` the part of first attempts.
+    :param crossings: dispatches to a remote zone; `remote_kilobytes` is their
+        traffic, `remote_first_kilobytes` the part of first attempts.
     """
 
     in_time: int = 0
--- a/src/peridotpost/experiment/scenario.py
+++ b/src/peridotpost/experiment/scenario.py
@@ -57,12 +57,15 @@
 
     :param per_s: requests per second over all zones; 0 for routes that
         are only called by other routes.
+    :param objective_ms: time within which an answer earns `worth`.
     :param spread: coefficient of variation of the run time, which is
         gamma distributed.
+    :param rank: priority; 0 is the most urgent.
     :param worth: value of an answer within the objective; `late_worth` is
         that of a later one.
     :param retries: how often a caller retries after a refusal.
     :param kilobytes: size of request and answer, headers included.
+    :param calls: calls that a run makes.
     :param waits: whether a run starts its work only after its calls are
         answered.
     """
@@ -153,8 +156,8 @@
 
 
 def _check(scenario: Scenario) -> None:
-    services = {one.name for one in scenario.services}
-    routes = {one.name for one in scenario.routes}
+    services = {service.name for service in scenario.services}
+    routes = {known_route.name for known_route in scenario.routes}
     for route in scenario.routes:
         if route.service not in services:
             raise ValueError(
--- a/src/peridotpost/experiment/simulation.py
+++ b/src/peridotpost/experiment/simulation.py
@@ -21,15 +21,15 @@
         self.rng = random.Random(seed)
         self.work_rng = random.Random(f'{seed} work')
         self.clock = clocks.SimulatedClock()
-        self.routes = {one.name: one for one in scenario.routes}
+        self.routes = {route.name: route for route in scenario.routes}
         self.by_service: dict[str, list[hosts.Host]] = {}
         self.hosts: list[hosts.Host] = []
         self.ingresses = ingress.Ingresses(self)
         self.route_results = {
             name: results.RouteResult() for name in self.routes
         }
-        self.owed: dict[str, float] = {}
-        self.earned: dict[str, float] = {}
+        self.owed_by_zone: dict[str, float] = {}
+        self.earned_by_zone: dict[str, float] = {}
         for service in scenario.services:
             self.by_service[service.name] = list(self._build_hosts(service))
 
@@ -39,7 +39,7 @@
                 self, len(self.hosts), index % self.scenario.zones
             )
             host.service = service.name
-            host.speed = service.speeds[index % len(service.speeds)]
+            host.run_time_factor = service.speeds[index % len(service.speeds)]
             host.queue.slots = service.slots
             self.hosts.append(host)
             yield host
@@ -75,14 +75,14 @@
         return load
 
     def work_s(self, host: hosts.Host, route: scenarios.Route) -> float:
-        """Return a random run time."""
+        """Return a random run time in seconds, longer on a degraded target."""
         shape = 1.0 / route.spread**2
-        mean_s = route.work_ms / ingress.MS_IN_S * host.speed
+        mean_s = route.work_ms / ingress.MS_IN_S * host.run_time_factor
         drawn_s = self.work_rng.gammavariate(shape, mean_s / shape)
-        phase = self.ailing(host)
+        phase = self.degrading_phase(host)
         return drawn_s * phase.slower if phase is not None else drawn_s
 
-    def ailing(self, host: hosts.Host) -> scenarios.Phase | None:
+    def degrading_phase(self, host: hosts.Host) -> scenarios.Phase | None:
         """Return the current phase if it degrades the host's target."""
         for phase in self.scenario.phases:
             if not phase.start_s <= self.clock.now < phase.end_s:
@@ -106,11 +106,11 @@
         started = self.clock.now
 
         def on_outcome(outcome: forwarding.Outcome) -> None:
-            good = outcome is hosts.SUCCEEDED
+            succeeded = outcome is hosts.SUCCEEDED
             self._count_outcome(
                 result, route, outcome, self.clock.now - started
             )
-            done(good)
+            done(succeeded)
 
         self.ingresses.send_request(
             host, route, route.rank, on_outcome, started
@@ -149,12 +149,14 @@
         result.credit += earned
         result.owed += caller.route.worth
         zone = caller.host.zone
-        self.owed[zone] = self.owed.get(zone, 0.0) + caller.route.worth
-        self.earned[zone] = self.earned.get(zone, 0.0) + earned
+        self.owed_by_zone[zone] = (
+            self.owed_by_zone.get(zone, 0.0) + caller.route.worth
+        )
+        self.earned_by_zone[zone] = self.earned_by_zone.get(zone, 0.0) + earned
 
 
 class Caller:
-    """The caller of one request, which retries after the given delay."""
+    """The caller of one request, which retries after refusals."""
 
     def __init__(
         self, fleet: Fleet, host: hosts.Host, route: scenarios.Route
@@ -163,7 +165,7 @@
         self.host = host
         self.route = route
         self.first_at = fleet.clock.now
-        self.left = route.retries
+        self.retries_left = route.retries
 
     def send(self) -> None:
         self.fleet.ingresses.send_request(
@@ -176,8 +178,8 @@
 
     def on_outcome(self, outcome: forwarding.Outcome) -> None:
         now = self.fleet.clock.now
-        if isinstance(outcome, forwarding.Refused) and self.left > 0:
-            self.left -= 1
+        if isinstance(outcome, forwarding.Refused) and self.retries_left > 0:
+            self.retries_left -= 1
             wait_s = outcome.retry_after_s or ingress.DEFAULT_RETRY_DELAY_S
             self.fleet.clock.after(wait_s, self.send)
             return
@@ -191,11 +193,11 @@
     fleet = Fleet(scenario, seed)
     fleet.run()
     run_result = results.Result(
-        policy, seed, len(fleet.hosts), fleet.clock.done
+        policy, seed, len(fleet.hosts), fleet.clock.callbacks_run
     )
     run_result.routes = fleet.route_results
     run_result.credit_by_zone = {
-        zone: fleet.earned.get(zone, 0.0) / fleet.owed[zone]
-        for zone in fleet.owed
+        zone: fleet.earned_by_zone.get(zone, 0.0) / fleet.owed_by_zone[zone]
+        for zone in fleet.owed_by_zone
     }
     return run_result
