--- a/src/peridotpost/standins/keyvalue.py
+++ b/src/peridotpost/standins/keyvalue.py
@@ -6,6 +6,7 @@
 
 MAX_VALUE_BYTES = 1_048_576
 MAX_CHANGES = 10_000
+"""Changes kept for watches; older ones are compacted."""
 NO_END = b'\0'
 """End of a range that extends to the last key."""
 
@@ -20,7 +21,7 @@
 
     key: bytes
     value: bytes
-    created: int
+    created_revision: int
     modified_revision: int
     version: int
     lease: int
@@ -64,6 +65,7 @@
         self.changed = asyncio.Event()
 
     def range(self, key: bytes, end: bytes) -> list[Entry]:
+        """Return the entries of a range of keys; of one key without `end`."""
         if not end:
             entry = self.entries.get(key)
             return [] if entry is None else [entry]
@@ -90,7 +92,7 @@
         entry = Entry(
             key=key,
             value=value,
-            created=old.created if old else revision,
+            created_revision=old.created_revision if old else revision,
             modified_revision=revision,
             version=old.version + 1 if old else 1,
             lease=lease,
@@ -128,6 +130,7 @@
     def changes_since(
         self, key: bytes, end: bytes, revision: int
     ) -> list[Change]:
+        """Return the changes of a range of keys from `revision` on."""
         return [
             change
             for change in self.changes
--- a/src/peridotpost/standins/mesh.py
+++ b/src/peridotpost/standins/mesh.py
@@ -13,7 +13,7 @@
 from typing import Any
 from typing import IO
 
-from peridotpost.border import mesh_document as text_border
+from peridotpost.border import mesh_document
 
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
@@ -22,7 +22,7 @@
 START_SPREAD_S = 0.2
 """Short: a mesh on one machine is too small for a thundering herd, and a
 long random delay would only slow its start."""
-BLOCK_PORTS = 200
+PORTS_PER_BLOCK = 200
 PORT_NAMES = (
     'caller_port',
     'egress_port',
@@ -73,35 +73,37 @@
 
     :raises RuntimeError: every block of ports is locked by another process.
     """
-    blocks = list(range(FIRST_PORT, LAST_PORT, BLOCK_PORTS))
+    blocks = list(range(FIRST_PORT, LAST_PORT, PORTS_PER_BLOCK))
     randomness.shuffle(blocks)
-    for first in blocks:
-        if _lock_block(first):
-            yield from filter(_is_free, range(first, first + BLOCK_PORTS))
+    for first_port in blocks:
+        if _lock_block(first_port):
+            yield from filter(
+                _is_free, range(first_port, first_port + PORTS_PER_BLOCK)
+            )
     raise RuntimeError(
-        f'no free block of {BLOCK_PORTS} ports; stop other meshes'
+        f'no free block of {PORTS_PER_BLOCK} ports; stop other meshes'
     )
 
 
-def _lock_block(block: int) -> bool:
-    """Lock a block of ports until this process ends.
+def _lock_block(first_port: int) -> bool:
+    """Lock a block of ports until this process ends; return whether it is.
 
     Two processes that plan at the same time would find the same port free,
     and the daemon that starts later would fail with "Address already in
     use", as tests that ran in parallel did.
     """
-    if block in _block_locks:
-        return _block_locks[block] is not None
+    if first_port in _block_locks:
+        return _block_locks[first_port] is not None
     directory = pathlib.Path(tempfile.gettempdir()) / 'peridotpost-ports'
     directory.mkdir(exist_ok=True)
-    lock = open(directory / str(block), 'w')
+    lock = open(directory / str(first_port), 'w')
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         lock.close()
-        _block_locks[block] = None
+        _block_locks[first_port] = None
         return False
-    _block_locks[block] = lock
+    _block_locks[first_port] = lock
     return True
 
 
@@ -109,8 +111,8 @@
 
 
 def _is_free(port: int) -> bool:
-    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(socket.AF_INET, kind) as probe:
+    for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+        with socket.socket(socket.AF_INET, socket_type) as probe:
             try:
                 probe.bind(('127.0.0.1', port))
             except OSError:
@@ -134,7 +136,7 @@
 
     :param settings: merged into the settings of each daemon.
     """
-    mesh = text_border.parse_mesh(text, 'planned text')
+    mesh = mesh_document.parse_mesh(text, 'planned text')
     ports = free_ports(randomness)
     platform_port = next(ports)
     names = itertools.cycle(services or tuple(mesh.services))
--- a/src/peridotpost/standins/platform.py
+++ b/src/peridotpost/standins/platform.py
@@ -31,7 +31,7 @@
 
 
 GRPC_UNKNOWN = 2
-GRPC_CODES = {400: 3, 404: 5, 429: 8}
+GRPC_CODE_BY_HTTP_STATUS = {400: 3, 404: 5, 429: 8}
 
 
 class Faults(pydantic.BaseModel):
@@ -57,12 +57,13 @@
 
     def __init__(self, per_second: int) -> None:
         self.per_second = per_second
-        self.window = 0
+        self.current_second = 0
         self.used = 0
 
     def take(self, now: float) -> bool:
-        if int(now) != self.window:
-            self.window, self.used = int(now), 0
+        """Count a call at `now`; return whether it is within the limit."""
+        if int(now) != self.current_second:
+            self.current_second, self.used = int(now), 0
         self.used += 1
         return not self.per_second or self.used <= self.per_second
 
@@ -130,9 +131,9 @@
         )
         operations = body.get('success' if condition_holds else 'failure', [])
         for put in (
-            planned['request_put']
-            for planned in operations
-            if 'request_put' in planned
+            put_operation['request_put']
+            for put_operation in operations
+            if 'request_put' in put_operation
         ):
             # Atomic: a refused put must leave no earlier put applied.
             self.state.check_put(
@@ -191,7 +192,7 @@
         self.platform = platform
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        code = GRPC_CODES.get(status_code, GRPC_UNKNOWN)
+        code = GRPC_CODE_BY_HTTP_STATUS.get(status_code, GRPC_UNKNOWN)
         self.finish({'error': self._reason, 'code': code})
 
     async def post(self, method: str) -> None:
@@ -200,7 +201,7 @@
         if not platform.within_quota(method):
             platform.counts['over-quota'] += 1
             raise web.HTTPError(429, reason='over the quota')
-        await self._inject_fault_before()
+        await self._inject_fault_before_call()
         try:
             body = json.loads(self.request.body)
             if method == 'watch':
@@ -216,7 +217,7 @@
         self._inject_lost_answer(method)
         self.finish(answer)
 
-    async def _inject_fault_before(self) -> None:
+    async def _inject_fault_before_call(self) -> None:
         faults = self.platform.faults
         if faults.outage:
             self._drop_connection()
@@ -271,23 +272,23 @@
             if self.platform.faults.outage:
                 self._drop_connection()
 
-    def _cancel_watch(self, compacted: int) -> None:
+    def _cancel_watch(self, compacted_revision: int) -> None:
         self._write_line(
             {
                 'header': self.platform.header(),
                 'canceled': True,
-                'compact_revision': str(compacted),
+                'compact_revision': str(compacted_revision),
             }
         )
 
     async def _wait_for_change(self, changed: asyncio.Event) -> None:
-        waits = [
+        waiters = [
             asyncio.ensure_future(changed.wait()),
             asyncio.ensure_future(self.platform.faults_changed.wait()),
             asyncio.ensure_future(self._close_event().wait()),
         ]
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for waiter in waits:
+        await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
+        for waiter in waiters:
             waiter.cancel()
         if self._close_event().is_set():
             raise iostream.StreamClosedError
@@ -332,7 +333,7 @@
     return {
         'key': base64.b64encode(entry.key).decode(),
         'value': base64.b64encode(entry.value).decode(),
-        'create_revision': str(entry.created),
+        'create_revision': str(entry.created_revision),
         'mod_revision': str(entry.modified_revision),
         'version': str(entry.version),
         'lease': str(entry.lease),
--- a/src/peridotpost/standins/target.py
+++ b/src/peridotpost/standins/target.py
@@ -24,6 +24,7 @@
 
 HEARTBEAT_S = 1.0
 DRAIN_GRACE_S = 0.1
+"""For requests that the daemon sent before it knew of the drain."""
 KEY_HEADER = 'Idempotency-Key'
 TIMEOUT_HEADER = 'Peridot-Timeout-Ms'
 
@@ -78,16 +79,20 @@
         return 'cold' if self.cold else 'ready'
 
     def work_s(self, requested_ms: str) -> float:
-        base = (
+        """Return the run time of a request in seconds.
+
+        :param requested_ms: the value of its header, or empty.
+        """
+        base_s = (
             float(requested_ms) / 1000
             if requested_ms
             else self.settings.work_s
         )
-        return base * (self.settings.cold_factor if self.cold else 1.0)
+        return base_s * (self.settings.cold_factor if self.cold else 1.0)
 
 
 class WorkHandler(web.RequestHandler):
-    """Handles any request: works as long as requested, then echoes it."""
+    """Handles any request: waits for its run time, then echoes it."""
 
     target: Target
     work: asyncio.Task[None] | None = None
@@ -108,15 +113,15 @@
             self.finish({'error': 'shed'})
             return
         headers = self.request.headers
-        seconds = target.work_s(headers.get('Standin-Work-Ms', ''))
-        budget = float(headers.get(TIMEOUT_HEADER, '300000')) / 1000
+        run_s = target.work_s(headers.get('Standin-Work-Ms', ''))
+        timeout_s = float(headers.get(TIMEOUT_HEADER, '300000')) / 1000
         target.running += 1
         try:
             self.work = asyncio.ensure_future(
-                asyncio.sleep(min(seconds, budget))
+                asyncio.sleep(min(run_s, timeout_s))
             )
             await self.work
-            if seconds > budget:
+            if run_s > timeout_s:
                 target.counts['deadline'] += 1
                 self.set_status(504)
                 self.finish({'error': 'deadline'})
