--- a/src/peridotpost/border/loglines.py
+++ b/src/peridotpost/border/loglines.py
@@ -1,4 +1,4 @@
-"""Parses the log lines of ``peridot-proxy``, written by ``kernel.lines``."""
+"""Parses the log lines of ``peridot-proxy``, written by ``kernel.jsonlog``."""
 
 from collections.abc import Iterator
 import dataclasses
@@ -18,7 +18,21 @@
 
     :param at: Unix time in seconds, by the clock of the host that wrote it.
     :param request: attempt id of the caller's request.
+    :param to: new state.
+    :param source: where a configuration came from.
+    :param instance: instance of the target.
     :param tried: hosts whose guards were asked, in this order.
+    :param arrivals: how many of them passed the request to their target.
+    :param left_ms: time left until the request's deadline.
+    :param version: version of the configuration in force.
+    :param before: version of the configuration that it replaced.
+    :param rank: priority of the route; 0 is the most urgent.
+    :param last: whether the target was asked as the last resort.
+    :param wait_ms: expected wait for a slot.
+    :param run_ms: expected run time.
+    :param return_ms: delay after which the caller is told to retry.
+    :param late_ms: how long the event loop was stalled.
+    :param boot_s: seconds since the boot of the host.
     :param left_out: number of lines skipped by rate limiting before this one.
     :param dropped: number of lines lost to a full pipe before this one.
     """
--- a/src/peridotpost/border/mesh_document.py
+++ b/src/peridotpost/border/mesh_document.py
@@ -15,46 +15,48 @@
 NAME_PATTERN = r'^[a-z][a-z0-9-]{0,62}$'
 
 Name = Annotated[str, pydantic.Field(pattern=NAME_PATTERN)]
-Positive = Annotated[int, pydantic.Field(gt=0, strict=True)]
+PositiveInt = Annotated[int, pydantic.Field(gt=0, strict=True)]
 DeadlineMs = Annotated[
     int, pydantic.Field(gt=0, le=MAX_DEADLINE_MS, strict=True)
 ]
-Flag = Annotated[bool, pydantic.Field(strict=True)]
+StrictBool = Annotated[bool, pydantic.Field(strict=True)]
 
 
 class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
 
-class LimitsText(_StrictModel):
+class LimitsSection(_StrictModel):
     """``limits`` of a service; each applies to a single target."""
 
     queue: Annotated[int, pydantic.Field(ge=0, le=10_000, strict=True)] = 64
-    body_bytes: Annotated[Positive, pydantic.Field(le=16_777_216)] = 1_048_576
-    answer_bytes: Annotated[Positive, pydantic.Field(le=16_777_216)] = (
+    body_bytes: Annotated[PositiveInt, pydantic.Field(le=16_777_216)] = (
+        1_048_576
+    )
+    answer_bytes: Annotated[PositiveInt, pydantic.Field(le=16_777_216)] = (
         4_194_304
     )
 
 
-class CallText(_StrictModel):
+class CallSection(_StrictModel):
     """Entry of ``calls``, which overrides the service's defaults."""
 
     method: Annotated[str, pydantic.Field(pattern=r'^[A-Z]{1,16}$')]
     path: Annotated[str, pydantic.Field(pattern=r'^/[^\s]*$')] = '/'
-    idempotent: Flag
+    idempotent: StrictBool
     deadline_ms: DeadlineMs | None = None
 
 
-class ServiceText(_StrictModel):
+class ServiceSection(_StrictModel):
     """One service; ``idempotent: false`` is the safe default."""
 
     depends_on: list[Name] = []
-    internal: Flag = False
-    idempotent: Flag = False
+    internal: StrictBool = False
+    idempotent: StrictBool = False
     deadline_ms: DeadlineMs = 5_000
     work_class: config.WorkClass = config.WorkClass.SHORT
-    limits: LimitsText = LimitsText()
-    calls: list[CallText] = []
+    limits: LimitsSection = LimitsSection()
+    calls: list[CallSection] = []
 
 
 class MeshDocument(_StrictModel):
@@ -62,7 +64,9 @@
 
     mesh: Name
     availability_zones: Annotated[list[Name], pydantic.Field(min_length=1)]
-    services: Annotated[dict[Name, ServiceText], pydantic.Field(min_length=1)]
+    services: Annotated[
+        dict[Name, ServiceSection], pydantic.Field(min_length=1)
+    ]
 
 
 def parse_mesh(text: str, file: str) -> MeshDocument:
@@ -82,13 +86,13 @@
         mesh = MeshDocument.model_validate(parsed.data)
     except pydantic.ValidationError as error:
         raise document.DocumentError(parsed.problems_of(error)) from error
-    problems = list(_problems(mesh, parsed))
+    problems = list(_find_problems(mesh, parsed))
     if problems:
         raise document.DocumentError(problems)
     return mesh
 
 
-def _problems(
+def _find_problems(
     mesh: MeshDocument, parsed: document.Document
 ) -> Iterator[document.Problem]:
     yield from _duplicate_names(
@@ -124,7 +128,7 @@
 
 
 def _duplicate_calls(
-    service: ServiceText, path: document.Path, parsed: document.Document
+    service: ServiceSection, path: document.Path, parsed: document.Document
 ) -> Iterator[document.Problem]:
     seen: set[tuple[str, str]] = set()
     for index, call in enumerate(service.calls):
@@ -164,7 +168,7 @@
     )
 
 
-def _to_spec(name: str, service: ServiceText) -> config.ServiceSpec:
+def _to_spec(name: str, service: ServiceSection) -> config.ServiceSpec:
     return config.ServiceSpec(
         name=name,
         depends_on=tuple(service.depends_on),
--- a/src/peridotpost/border/proxy_settings.py
+++ b/src/peridotpost/border/proxy_settings.py
@@ -13,7 +13,7 @@
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
-Positive = Annotated[float, msgspec.Meta(gt=0)]
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
 
 
 class InvalidSettings(errors.PeridotError):
@@ -52,7 +52,7 @@
 
     ratio: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.2
     extra: Annotated[float, msgspec.Meta(ge=0)] = 60.0
-    window_s: Positive = 10.0
+    window_s: PositiveFloat = 10.0
 
 
 class Releases(_Lenient, frozen=True):
@@ -72,7 +72,7 @@
         killed.
     """
 
-    grace_s: Positive = 6.0
+    grace_s: PositiveFloat = 6.0
 
 
 class ProxySettings(_Lenient, frozen=True):
@@ -94,7 +94,7 @@
     target: Name
     listen: Listen
     store: Name
-    link_mbps: Positive = 1000.0
+    link_mbps: PositiveFloat = 1000.0
     retries: Retries = Retries()
     releases: Releases = Releases()
     shutdown: Shutdown = Shutdown()
