--- a/src/peridotpost/admin/handlers.py
+++ b/src/peridotpost/admin/handlers.py
@@ -14,7 +14,7 @@
 from peridotpost.calls import sockets as ports
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import server as control
-from peridotpost.distribution import storewatcher as sources
+from peridotpost.distribution import storewatcher
 from peridotpost.distribution import uplinks
 from peridotpost.kernel import counters
 from peridotpost.kernel import registry
@@ -146,7 +146,7 @@
     local_member = kernel.find('myself', myself.LocalMember)
     replica = kernel.find('replica', replicas.Replica)
     uplink_set = kernel.find('uplinks', uplinks.UplinkManager)
-    source = kernel.find('source', sources.StoreWatcher)
+    store_watcher = kernel.find('source', storewatcher.StoreWatcher)
     servicer = kernel.find('control', control.ControlServicer)
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return models.DaemonStatus(
@@ -159,7 +159,7 @@
         relay=uplink_set.position.relay,
         parent=[parent.peer for parent in uplink_set.by_name.values()],
         children=servicer.children,
-        store_reachable=source.reachable,
+        store_reachable=store_watcher.reachable,
         resident_kib=resident_kib(),
         cpu_s=usage.ru_utime + usage.ru_stime,
         routes=[
--- a/src/peridotpost/cli/experiment.py
+++ b/src/peridotpost/cli/experiment.py
@@ -194,7 +194,7 @@
             f'{result.credit_share:>7.3f}   '
             f'worst zone {worst_zone_share:.3f}, '
             f'{result.hosts} hosts, {result.events} events, '
-            f'{result.far_kilobytes:.0f} KB to other zones'
+            f'{result.far_kilobytes:.0f} KB to remote zones'
         )
     return '\n'.join(lines)
 
--- a/src/peridotpost/cli/operator.py
+++ b/src/peridotpost/cli/operator.py
@@ -13,7 +13,7 @@
 from tornado import httpclient
 
 from peridotpost.border import document
-from peridotpost.border import mesh_document as text_border
+from peridotpost.border import mesh_document
 from peridotpost.kernel import counters
 from peridotpost.model import errors
 from peridotpost.store import etcd
@@ -126,9 +126,12 @@
     )
 
 
-def parse_mesh(text: str, file: str) -> text_border.MeshDocument:
-    """Parse and validate a text; raises what ``text.read_text`` does."""
-    return text_border.parse_mesh(text, file)
+def parse_mesh(text: str, file: str) -> mesh_document.MeshDocument:
+    """Parse and validate a text.
+
+    :raises document.DocumentError: with the line of each error.
+    """
+    return mesh_document.parse_mesh(text, file)
 
 
 async def fetch_pages(
--- a/src/peridotpost/cli/proxy_command.py
+++ b/src/peridotpost/cli/proxy_command.py
@@ -10,7 +10,7 @@
 import click
 import uvloop
 
-from peridotpost.border import proxy_settings as border
+from peridotpost.border import proxy_settings
 from peridotpost.kernel import jsonlog
 from peridotpost.mesh import daemon
 from peridotpost.platform import assembly
@@ -35,8 +35,8 @@
 def main(path: pathlib.Path, check: bool) -> None:
     """Serve this host: ingress for callers and guard of its target."""
     try:
-        settings = border.load(path)
-    except border.InvalidSettings as error:
+        settings = proxy_settings.load(path)
+    except proxy_settings.InvalidSettings as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_INVALID_SETTINGS)
     if check:
@@ -53,7 +53,9 @@
     os._exit(0)
 
 
-async def _serve(path: pathlib.Path, settings: border.ProxySettings) -> None:
+async def _serve(
+    path: pathlib.Path, settings: proxy_settings.ProxySettings
+) -> None:
     log = jsonlog.JsonLog(settings.host)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -70,12 +72,14 @@
 
 
 def _reload(
-    path: pathlib.Path, running: border.ProxySettings, log: jsonlog.JsonLog
+    path: pathlib.Path,
+    running: proxy_settings.ProxySettings,
+    log: jsonlog.JsonLog,
 ) -> None:
     """Validate changed settings; they take effect at the next start."""
     try:
-        new_settings = border.load(path)
-    except border.InvalidSettings as error:
+        new_settings = proxy_settings.load(path)
+    except proxy_settings.InvalidSettings as error:
         log.state('settings', to='rejected', error=str(error))
         return
     log.state('settings', to='read', changed=new_settings != running)
--- a/src/peridotpost/cli/subcommands/acceptance.py
+++ b/src/peridotpost/cli/subcommands/acceptance.py
@@ -122,7 +122,9 @@
     if base is not None:
         return result.Ok(base)
     head = await versions.read_head(platform, mesh)
-    current_revision = head.map(lambda found: found.revision if found else 0)
+    current_revision = head.map(
+        lambda version: version.revision if version else 0
+    )
     if isinstance(current_revision, result.Ok) and not as_json:
         click.echo(
             f'no --base given: takes version {current_revision.ok_value}, '
--- a/src/peridotpost/load/client.py
+++ b/src/peridotpost/load/client.py
@@ -58,7 +58,7 @@
 
 
 class Client:
-    """Pool of connections to one address; reuses the latest one first."""
+    """Pool of connections to one address; reuses the last used one first."""
 
     def __init__(self, address: str, port: int) -> None:
         self.address = address
--- a/src/peridotpost/load/runner.py
+++ b/src/peridotpost/load/runner.py
@@ -81,6 +81,7 @@
             if delay > 0:
                 await asyncio.sleep(delay)
             elif self.result.sent % 64 == 0:
+                # Behind schedule: let the calls proceed.
                 await asyncio.sleep(0)
             task = asyncio.ensure_future(
                 self._call(connection_pool, service, due)
@@ -155,12 +156,12 @@
         :param targets: base URLs of stand-in targets.
         """
         runs: dict[str, int] = {}
-        reader = httpclient.AsyncHTTPClient(force_instance=True)
+        http_client = httpclient.AsyncHTTPClient(force_instance=True)
         for target in targets:
-            answer = await reader.fetch(f'{target}/standin/counts')
+            answer = await http_client.fetch(f'{target}/standin/counts')
             for key, count in json.loads(answer.body)['ran'].items():
                 runs[key] = runs.get(key, 0) + int(count)
-        reader.close()
+        http_client.close()
         self.result.runs_checked = True
         for key, outcome in self.outcome_by_key.items():
             count = runs.get(key, 0)
--- a/src/peridotpost/reports/explanation.py
+++ b/src/peridotpost/reports/explanation.py
@@ -104,9 +104,9 @@
 
 
 def _cause_of(outcome: loglines.LogLine) -> str:
-    why = outcome.detail or outcome.reason
-    cause = CAUSES.get((outcome.event, why))
-    return cause or OUTCOME_TEXTS[outcome.event].format(detail=why)
+    reason = outcome.detail or outcome.reason
+    cause = CAUSES.get((outcome.event, reason))
+    return cause or OUTCOME_TEXTS[outcome.event].format(detail=reason)
 
 
 def _attempt_summary(
