--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -19,7 +19,7 @@
 from bench import fleets
 from bench import json_output
 from bench import stats
-from peridotpost.border import mesh_document as document_border
+from peridotpost.border import mesh_document
 from peridotpost.decisions import fleet as fleet_rules
 from peridotpost.decisions import seeds as seed_rules
 from peridotpost.decisions import tree
@@ -45,12 +45,12 @@
     operation: Callable[[], object], repeats: int = REPEATS
 ) -> float:
     """Return the minimum CPU time of `operation`, in milliseconds."""
-    best = float('inf')
+    min_s = float('inf')
     for _ in range(repeats):
         started_at = time.process_time()
         operation()
-        best = min(best, time.process_time() - started_at)
-    return round(best * 1000, 4)
+        min_s = min(min_s, time.process_time() - started_at)
+    return round(min_s * 1000, 4)
 
 
 def message_sizes() -> dict[str, Any]:
@@ -261,7 +261,7 @@
 
 
 def store_costs() -> dict[str, int]:
-    """Return the size in bytes of one read of all bootstrap records."""
+    """Return the size in bytes of one read of all seed records."""
     count = fleets.ZONES * seed_rules.SEEDS_PER_ZONE
     platform = platform_standin.Platform()
     prefix = seeds.seeds_prefix('measured')
@@ -306,7 +306,7 @@
     uncached_version = fleets.make_version()
     return {
         'relay_read_text': min_cpu_ms(
-            lambda: document_border.parse_mesh(document, 'text'), 3
+            lambda: mesh_document.parse_mesh(document, 'text'), 3
         ),
         'relay_compile_version': min_cpu_ms(
             lambda: versions.compile_version(accepted), 3
--- a/bench/convergence.py
+++ b/bench/convergence.py
@@ -72,7 +72,8 @@
     for host, totals in after.totals.items():
         earlier = before.totals[host]
         increases = {
-            name: n - earlier.get(name, 0) for name, n in totals.items()
+            name: total - earlier.get(name, 0)
+            for name, total in totals.items()
         }
         row = {
             'sent': _total(
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from bench import documents
-from peridotpost.border import mesh_document as document_border
+from peridotpost.border import mesh_document
 from peridotpost.model import config
 from peridotpost.model import members
 from testing import distribution_harness as nodes
@@ -24,10 +24,10 @@
     services: int = SERVICES, zones: int = ZONES, revision: int = 1
 ) -> config.ConfigVersion:
     """Return a configuration version of a generated mesh document."""
-    mesh = document_border.parse_mesh(
+    mesh = mesh_document.parse_mesh(
         documents.generate_document(services, zones), 'bench'
     )
-    return document_border.to_config(mesh, revision, f'{revision:032x}')
+    return mesh_document.to_config(mesh, revision, f'{revision:032x}')
 
 
 def changed_version(
--- a/bench/path.py
+++ b/bench/path.py
@@ -130,8 +130,8 @@
     after = await daemon_cpu_s(bench, call_path)
     count = latencies[call_path.name].count
     return [
-        round(((c - b) - (b - a)) / count * 1000, 4)
-        for a, b, c in zip(idle, before, after)
+        round(((after_s - before_s) - (before_s - idle_s)) / count * 1000, 4)
+        for idle_s, before_s, after_s in zip(idle, before, after)
     ]
 
 
@@ -210,7 +210,7 @@
         if call_path.daemons
     }
     click.echo('CPU time done', err=True)
-    saturated: dict[str, list[dict[str, float]]] = {
+    saturation_results: dict[str, list[dict[str, float]]] = {
         call_path.name: [] for call_path in call_paths
     }
     saturated_cpu_ms: dict[str, list[float]] = {
@@ -221,9 +221,10 @@
             before = await daemon_cpu_s(bench, call_path)
             result = await saturate(call_path, seconds / 8)
             after = await daemon_cpu_s(bench, call_path)
-            saturated[call_path.name].append(result)
+            saturation_results[call_path.name].append(result)
             saturated_cpu_ms[call_path.name] += [
-                (b - a) / result['calls'] * 1000 for a, b in zip(before, after)
+                (after_s - before_s) / result['calls'] * 1000
+                for before_s, after_s in zip(before, after)
             ]
     return {
         'open_loop': _compare_with_direct(
@@ -238,7 +239,10 @@
         ),
         'cpu_ms_per_call_of_each_daemon': cpu,
         'saturation': _compare_with_direct(
-            {name: _median(results) for name, results in saturated.items()}
+            {
+                name: _median(results)
+                for name, results in saturation_results.items()
+            }
         ),
         'saturation_cpu_ms_per_call': {
             name: [round(cpu_ms, 4) for cpu_ms in values]
--- a/bench/proxy_path.py
+++ b/bench/proxy_path.py
@@ -25,7 +25,7 @@
 
 TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
-MB = 1_000_000
+BYTES_PER_MB = 1_000_000
 SETTLE_S = 3.0
 CALLERS = 8
 
@@ -35,7 +35,7 @@
     """CPU seconds and resident bytes of a process."""
 
     cpu_s: float
-    resident: int
+    resident_bytes: int
 
 
 def read_usage(pid: int) -> Usage:
@@ -66,9 +66,9 @@
         caller = proxies.Caller(reader, writer)
         interval_s = CALLERS / calls_per_s
         next_at = time.monotonic() + interval_s * index / CALLERS
-        end = time.monotonic() + seconds
+        end_at = time.monotonic() + seconds
         number = 0
-        while next_at < end:
+        while next_at < end_at:
             await asyncio.sleep(max(0.0, next_at - time.monotonic()))
             started = time.monotonic()
             response = await caller.ask(
@@ -124,7 +124,9 @@
             result[f'idle_{name}_core_share'] = round(
                 (now.cpu_s - idle[name].cpu_s) / seconds, 5
             )
-            result[f'idle_{name}_mb'] = round(now.resident / MB, 1)
+            result[f'idle_{name}_mb'] = round(
+                now.resident_bytes / BYTES_PER_MB, 1
+            )
         call_paths = (
             ('direct', guard.spec.backend_address, hosts.TARGET_PORT),
             ('same_host', guard.spec.address, hosts.REQUESTS_PORT),
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -27,7 +27,8 @@
 INGRESSES = 70
 DURATION_S = 12.0
 EXPOSURE = 0.1
-EXPOSURE_SLACK = 50
+EXPOSURE_SLACK_REQUESTS = 50
+"""Allowed beyond the exposure bound."""
 BAD_REQUEST_THRESHOLD = 50
 TICK_S = 0.1
 REPORT_TICKS = 3
@@ -38,9 +39,11 @@
 GOOD = releaseload.Behaviour()
 
 
-def _on_all_routes(**given: float | bool) -> dict[str, releaseload.Behaviour]:
+def _on_all_routes(
+    **behaviour: float | bool,
+) -> dict[str, releaseload.Behaviour]:
     return {
-        route: releaseload.Behaviour(**given)  # type: ignore[arg-type]
+        route: releaseload.Behaviour(**behaviour)  # type: ignore[arg-type]
         for route in ROUTES
     }
 
@@ -123,7 +126,7 @@
     def exceeds_exposure_bound(self) -> bool:
         return (
             self.new_version_requests
-            > EXPOSURE * self.total_requests + EXPOSURE_SLACK
+            > EXPOSURE * self.total_requests + EXPOSURE_SLACK_REQUESTS
         )
 
     @property
@@ -134,7 +137,7 @@
 
 
 def simulate_release(
-    kind: Mapping[str, releaseload.Behaviour],
+    behaviours: Mapping[str, releaseload.Behaviour],
     test: VersionTest,
     randomness: random.Random,
 ) -> ReleaseOutcome:
@@ -153,7 +156,7 @@
             outcome.stage = plan.stage
         for _ in range(round(REQUESTS_PER_S * TICK_S)):
             _simulate_request(
-                kind, ingresses, old, new, outcome, now, randomness
+                behaviours, ingresses, old, new, outcome, now, randomness
             )
     return outcome
 
@@ -184,7 +187,7 @@
 
 
 def _simulate_request(
-    kind: Mapping[str, releaseload.Behaviour],
+    behaviours: Mapping[str, releaseload.Behaviour],
     ingresses: list[releasesplit.ReleaseSplit],
     old: dict[str, release.RouteRunCounts],
     new: dict[str, release.RouteRunCounts],
@@ -207,7 +210,9 @@
     outcome.new_version_requests += before_deadline
     outcome.last_new_request_at = now
     # All canary requests go to one target, so that target is busy.
-    is_bad = releaseload.run(new[route], kind[route], now, True, randomness)
+    is_bad = releaseload.run(
+        new[route], behaviours[route], now, True, randomness
+    )
     outcome.bad_requests += is_bad
     if outcome.bad_requests == BAD_REQUEST_THRESHOLD and is_bad:
         outcome.threshold_reached_at = now
@@ -215,11 +220,11 @@
 
 def main(trials: int) -> None:
     """Simulate `trials` releases of each kind; print a table per test."""
-    for name, make in (('cusum', verdict.CanaryJudge), ('z-test', ZTest)):
+    for name, make_test in (('cusum', verdict.CanaryJudge), ('z-test', ZTest)):
         print(f'{name:24} back  over bound  after 50th s  in time')
         for kind, behaviours in VERSION_KINDS.items():
             outcomes = [
-                simulate_release(behaviours, make(), random.Random(seed))
+                simulate_release(behaviours, make_test(), random.Random(seed))
                 for seed in range(trials)
             ]
             rolled_back = sum(
--- a/bench/unseen_fleets.py
+++ b/bench/unseen_fleets.py
@@ -25,8 +25,8 @@
 POLICIES = {
     'as built': {},
     'no margin': {'slots.MARGIN': 0.0},
-    'nobody late': {'slots.LATE_SHARE': 0.0},
-    'far below 1': {'selection.FULL': 1.0},
+    'none late': {'slots.LATE_SHARE': 0.0},
+    'full from 1': {'selection.FULL': 1.0},
 }
 
 
@@ -97,8 +97,8 @@
     worth: int,
 ) -> dict[str, object]:
     slots = fleet.zones * fleet.per_zone * fleet.slots
-    mean_speed = sum(fleet.speeds) / len(fleet.speeds)
-    capacity_per_s = slots * 1000 / (work_ms * mean_speed)
+    mean_run_time_factor = sum(fleet.speeds) / len(fleet.speeds)
+    capacity_per_s = slots * 1000 / (work_ms * mean_run_time_factor)
     per_s = fleet.overload * capacity_per_s / 2 if worth else 0
     calls = []
     if level < fleet.depth:
--- a/bench/watcher.py
+++ b/bench/watcher.py
@@ -13,7 +13,7 @@
 from peridotpost.cli import common
 from peridotpost.decisions import tree
 from peridotpost.distribution import replica as replicas
-from peridotpost.distribution import storewatcher as sources
+from peridotpost.distribution import storewatcher
 from peridotpost.kernel import counters
 from peridotpost.kernel import timeline
 from peridotpost.kernel import timers
@@ -47,11 +47,11 @@
         with etcd.etcd_store(
             [store], STORE_TIMEOUT_S, WATCH_TIMEOUT_S, counts
         ) as platform:
-            source = sources.StoreWatcher(
+            store_watcher = storewatcher.StoreWatcher(
                 platform, mesh, replica, counts, random.Random()
             )
-            async with sources.following(source):
-                source.set_position(tree.TreePosition(True, True, ()))
+            async with storewatcher.following(store_watcher):
+                store_watcher.set_position(tree.TreePosition(True, True, ()))
                 await stop.wait()
     return common.EXIT_OK
 
--- a/demo/drive.py
+++ b/demo/drive.py
@@ -302,7 +302,7 @@
     )
 
     print('4. a second version is accepted')
-    before, at = await fetch_control_bytes(plan), time.monotonic()
+    before, measured_at = await fetch_control_bytes(plan), time.monotonic()
     changed = directory / 'second.yaml'
     changed.write_text(
         document.replace('deadline_ms: 2000', 'deadline_ms: 2500')
@@ -313,8 +313,11 @@
         delay_s >= 0,
         f'version {second} in force on every daemon in {delay_s:.3f} s',
     )
-    await asyncio.sleep(max(0.0, 3.0 - (time.monotonic() - at)))
-    after, elapsed_s = await fetch_control_bytes(plan), time.monotonic() - at
+    await asyncio.sleep(max(0.0, 3.0 - (time.monotonic() - measured_at)))
+    after, elapsed_s = (
+        await fetch_control_bytes(plan),
+        time.monotonic() - measured_at,
+    )
     print(f'   control bytes of each daemon over {elapsed_s:.1f} s:')
     for host, total in sorted(after.items()):
         rate = (total - before[host]) / elapsed_s
