--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize('idempotent', [True, False])
-def test_a_refusal_by_the_target_is_no_attempt(idempotent: bool) -> None:
+def test_shed_call_uses_up_no_attempt(idempotent: bool) -> None:
     """Guards against failed calls at a target that sheds half of its load.
 
     If a shed call used up an attempt, every second call would fail.
@@ -75,7 +75,7 @@
     assert request.after(ANSWER, 0.1) is DONE
 
 
-def test_a_refusal_after_a_loss_is_no_proof_of_not_run() -> None:
+def test_refusal_after_a_lost_response_does_not_prove_not_run() -> None:
     request = attempts.Attempts(True, 2, deadline=1.0)
     request.after(LOST, 0.0)
     for _ in range(attempts.MAX_REFUSALS):
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize(
     'second', [FULL, NO_BUDGET, LOST], ids=['full', 'no budget', 'lost']
 )
-def test_a_failure_answer_is_kept(
+def test_failure_answer_is_kept_after_a_failed_retry(
     second: forwarding.Outcome,
 ) -> None:
     """Guards against reporting a read that ran and failed as not run."""
--- a/testing/test_deadlines.py
+++ b/testing/test_deadlines.py
@@ -18,7 +18,7 @@
         pytest.param([-1.0], [0], id='one that has passed'),
     ],
 )
-async def test_what_is_kept_expires(
+async def test_kept_entries_expire(
     delays: list[float], kept: list[int]
 ) -> None:
     """Guards against a single request on an idle host never timing out.
--- a/testing/test_deltas.py
+++ b/testing/test_deltas.py
@@ -71,6 +71,6 @@
         pytest.param(zlib.compress(b'\x92\x01\x02'), id='other fields'),
     ],
 )
-def test_what_is_no_delta_is_refused(packed: bytes) -> None:
+def test_invalid_delta_is_refused(packed: bytes) -> None:
     with pytest.raises(deltas.BadDelta):
         deltas.unpack(packed)
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -53,7 +53,7 @@
         pytest.param(unreachable_zone, 0.5, 0.02, id='unreachable-zone'),
     ],
 )
-def test_callers_do_not_feel_a_bad_target_for_long(
+def test_failing_target_causes_few_failed_calls(
     make: object, load: float, most_failed: float
 ) -> None:
     """Guards against the "black hole".
--- a/testing/test_frames.py
+++ b/testing/test_frames.py
@@ -60,7 +60,9 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(noise=strategies.binary(max_size=400))
-def test_noise_is_a_broken_stream_or_waits_for_more(noise: bytes) -> None:
+def test_random_bytes_are_rejected_or_treated_as_incomplete(
+    noise: bytes,
+) -> None:
     reader = frames.FrameReader()
     try:
         reader.feed(noise)
--- a/testing/test_pacing.py
+++ b/testing/test_pacing.py
@@ -10,7 +10,7 @@
 from testing import conftest
 
 
-def test_wave_at_one_parent_is_admitted_at_its_rate() -> None:
+def test_simultaneous_joins_are_admitted_at_the_parents_rate() -> None:
     # A zone loses power and 470 daemons return to one parent within a tenth
     # of a second.  The parent must admit 40 a second, and those it refuses
     # must not all return at the same moment.
@@ -36,7 +36,7 @@
     assert asked < 4 * 470
 
 
-def test_retry_times_of_one_wave_are_spread() -> None:
+def test_retry_times_of_simultaneous_joins_are_spread() -> None:
     limit = pacing.JoinLimiter(0.0)
     waits = [limit.admit(0.0) for _ in range(400)]
     refused = [wait for wait in waits if wait]
@@ -46,7 +46,7 @@
     assert min(gaps) == pytest.approx(1 / pacing.JOINS_PER_S)
 
 
-def test_retry_times_of_a_huge_wave_are_bounded() -> None:
+def test_retry_times_of_very_many_joins_are_bounded() -> None:
     limit = pacing.JoinLimiter(0.0)
     waits = [limit.admit(0.0) for _ in range(5200)]
     assert max(waits) <= pacing.MAX_RETRY_AFTER_S + 1 / pacing.JOINS_PER_S
--- a/testing/test_peer_streams.py
+++ b/testing/test_peer_streams.py
@@ -31,7 +31,7 @@
     )
 
 
-async def test_what_was_withdrawn_during_a_freeze_does_not_run() -> None:
+async def test_request_cancelled_during_a_freeze_is_not_run() -> None:
     """Guards against running a request whose caller was already answered.
 
     A guard's process is frozen for seconds.  Meanwhile an ingress sends it a
@@ -48,7 +48,7 @@
         assert first.worker.attempts() == ['d902']
 
 
-async def test_a_silent_peer_loses_reads_at_once_and_writes_late() -> None:
+async def test_reads_leave_a_silent_peer_before_writes_do() -> None:
     """A connection goes silent permanently while new ones work.
 
     A read is rerouted as soon as a ping stays unanswered.  A write can't be
@@ -101,7 +101,7 @@
     )
 
 
-async def test_a_restarted_peer_is_dialled_again_at_once() -> None:
+async def test_restarted_peer_is_dialled_again_at_once() -> None:
     """A host lost power, so its old stream is silent without a reset.
 
     The host's new record shows that the process of the stream has ended.
@@ -125,9 +125,7 @@
         assert before is not None and before.closed
 
 
-async def test_a_read_that_nobody_else_may_run_waits_for_a_silent_peer() -> (
-    None
-):
+async def test_read_without_alternative_waits_for_a_silent_peer() -> None:
     """Guards against 502 for a read without an alternative target.
 
     A busy host is silent for half a second and then responds.  A read of a
@@ -147,7 +145,7 @@
         assert not outcomes
 
 
-async def test_a_leaving_daemon_waits_for_silent_peers() -> None:
+async def test_leaving_daemon_waits_for_silent_peers() -> None:
     """Guards against 502 while a daemon shuts down and a peer is busy.
 
     The peer is silent for a second.  Reads dispatched to it were cancelled,
@@ -173,11 +171,11 @@
 @pytest.mark.parametrize(
     ('newer_by', 'kept'),
     [
-        pytest.param(0, True, id='the stream is to that process already'),
-        pytest.param(1, False, id='the stream is to the process before'),
+        pytest.param(0, True, id='stream to the recorded process'),
+        pytest.param(1, False, id='stream to an earlier process'),
     ],
 )
-async def test_a_late_record_does_not_cut_the_stream_to_a_restarted_peer(
+async def test_record_closes_only_streams_to_earlier_processes(
     newer_by: int, kept: bool
 ) -> None:
     """Guards against 502 for running requests during a rolling restart.
@@ -207,7 +205,7 @@
         assert stream.closed is not kept
 
 
-async def test_a_stream_tells_of_the_peers_new_process() -> None:
+async def test_hello_updates_the_record_of_a_restarted_peer() -> None:
     async with proxies.pair() as (_, first, second):
         peer = first.proxy.directory.peers['b']
         stream = peer.stream
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -26,7 +26,7 @@
             client.close()
 
 
-async def test_what_is_written_is_read() -> None:
+async def test_written_values_are_read_back() -> None:
     async with opened() as (client, kv):
         lease = await client.grant_lease(5.0)
         await client.register(RECORD, lease)
@@ -44,7 +44,7 @@
         assert not await client.renew_lease(lease)
 
 
-async def test_a_watch_brings_the_newest_of_several_versions() -> None:
+async def test_watch_returns_the_newest_of_several_versions() -> None:
     async with opened() as (client, kv):
         first = await client.read_config()
         assert first.raw is None
@@ -59,12 +59,12 @@
 @pytest.mark.parametrize(
     ('status', 'kind'),
     [
-        pytest.param(429, errors.StoreOverloaded, id='over the quota'),
-        pytest.param(503, errors.StoreRefused, id='busy'),
-        pytest.param(500, errors.StoreRefused, id='failing'),
+        pytest.param(429, errors.StoreOverloaded, id='rate limit exceeded'),
+        pytest.param(503, errors.StoreRefused, id='unavailable'),
+        pytest.param(500, errors.StoreRefused, id='internal error'),
     ],
 )
-async def test_refusal_is_told_from_no_answer(
+async def test_error_status_raises_the_matching_error(
     status: int, kind: type[errors.StoreError]
 ) -> None:
     async with opened() as (client, kv):
@@ -75,7 +75,7 @@
             await client.grant_lease(5.0)
 
 
-async def test_a_lost_answer_may_have_taken_effect() -> None:
+async def test_write_with_a_lost_response_may_have_taken_effect() -> None:
     async with opened() as (client, kv):
         lease = await client.grant_lease(5.0)
         kv.lose_answers = True
@@ -85,13 +85,13 @@
         assert await client.read_records(stale=False) == [RECORD]
 
 
-async def test_a_write_under_a_lapsed_lease_says_so() -> None:
+async def test_write_under_an_expired_lease_raises() -> None:
     async with opened() as (client, _kv):
         with pytest.raises(errors.LeaseExpired):
             await client.register(RECORD, 77)
 
 
-async def test_a_history_that_is_gone_says_so() -> None:
+async def test_watch_of_a_compacted_revision_raises() -> None:
     async with opened() as (client, kv):
         read = await client.read_config()
         await kv.configure({'version': 1})
@@ -100,7 +100,7 @@
             await client.next_config(read.revision)
 
 
-async def test_a_silent_store_is_given_up_and_the_next_call_works(
+async def test_unanswered_call_times_out_and_the_next_one_works(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The store accepts the connection and never answers.  What it sends
@@ -116,7 +116,7 @@
         assert (await client.read_config()).raw == b'{"version": 1}'
 
 
-async def test_calls_at_the_same_time_do_not_mix() -> None:
+async def test_concurrent_calls_get_their_own_responses() -> None:
     async with opened() as (client, kv):
         await kv.configure({'version': 1})
         reads = await asyncio.gather(
--- a/testing/test_proxy_bodies.py
+++ b/testing/test_proxy_bodies.py
@@ -33,18 +33,20 @@
     monkeypatch.setattr(forwarder, 'BUSY_LOAD', -1.0)
 
 
-async def far_target(mesh: proxies.Mesh, slots: int = 1) -> proxies.Host:
-    """Return a host whose requests go to a target on another host."""
+async def add_host_and_remote_target(
+    mesh: proxies.Mesh, slots: int = 1
+) -> proxies.Host:
+    """Return a host whose only target is on the other host, `b`."""
     await mesh.kv.configure(proxies.config())
-    near = await mesh.add('a', service='vault')
-    far = await mesh.add('b', slots=slots)
-    await near.announce()
-    await far.announce()
+    host = await mesh.add('a', service='vault')
+    remote = await mesh.add('b', slots=slots)
+    await host.announce()
+    await remote.announce()
     await mesh.wait_ready()
-    return near
+    return host
 
 
-async def test_a_refused_request_costs_no_body_on_the_way(
+async def test_body_of_a_refused_request_is_not_sent(
     sent: list[frames.Frame], always_busy: None
 ) -> None:
     """Guards against links filled by bodies of refused requests.
@@ -52,13 +54,13 @@
     Under overload the bodies were sent although the requests were refused.
     """
     async with proxies.running() as mesh:
-        near = await far_target(mesh)
-        far = mesh.hosts['b']
-        async with near.caller() as holding:
+        host = await add_host_and_remote_target(mesh)
+        remote = mesh.hosts['b']
+        async with host.caller() as holding:
             holding.send('/write/hold', method='POST', attempt='holds')
-            await far.worker.run_started.wait()
+            await remote.worker.run_started.wait()
             sent.clear()
-            answer = await near.ask(
+            answer = await host.ask(
                 '/write/ok',
                 method='POST',
                 attempt='w1',
@@ -68,16 +70,16 @@
             assert answer.status == 503
             assert not any(isinstance(one, frames.Body) for one in sent)
             assert any(isinstance(one, frames.Dispatch) for one in sent)
-            far.worker.release.set()
+            remote.worker.release.set()
             await holding.receive()
 
 
-async def test_a_body_that_comes_on_demand_arrives_whole(
+async def test_body_sent_on_request_arrives_complete(
     sent: list[frames.Frame], always_busy: None
 ) -> None:
     async with proxies.running() as mesh:
-        near = await far_target(mesh)
-        answer = await near.ask(
+        host = await add_host_and_remote_target(mesh)
+        answer = await host.ask(
             '/write/ok', method='POST', attempt='w1', body=BODY
         )
         assert answer.status == 200
@@ -88,7 +90,7 @@
 
 
 @pytest.mark.parametrize('ends', ['caller leaves', 'target drains'])
-async def test_a_slot_that_waits_for_a_body_is_given_back(
+async def test_slot_is_released_if_the_body_is_no_longer_needed(
     ends: str, always_busy: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The body is delayed on the network while its request has a slot."""
@@ -100,32 +102,32 @@
         lambda stream, number: held.append((stream, number)),
     )
     async with proxies.running() as mesh:
-        near = await far_target(mesh)
-        far = mesh.hosts['b']
-        async with near.caller() as caller:
+        host = await add_host_and_remote_target(mesh)
+        remote = mesh.hosts['b']
+        async with host.caller() as caller:
             caller.send('/write/ok', method='POST', attempt='w1', body=BODY)
             await conditions.until(lambda: bool(held))
-            assert far.proxy.guard.queue.running == 1
-            assert not far.proxy.guard.has_no_work
+            assert remote.proxy.guard.queue.running == 1
+            assert not remote.proxy.guard.has_no_work
             if ends == 'caller leaves':
                 caller.writer.close()
             else:
-                await far.announce(state='draining')
+                await remote.announce(state='draining')
                 wanted(*held[0])
-            await conditions.until(lambda: far.proxy.guard.has_no_work)
-        assert far.proxy.guard.queue.running == 0
-        assert far.worker.runs == []
+            await conditions.until(lambda: remote.proxy.guard.has_no_work)
+        assert remote.proxy.guard.queue.running == 0
+        assert remote.worker.runs == []
 
 
-async def test_bodies_go_at_once_to_a_target_with_room(
+async def test_body_is_sent_at_once_to_a_target_with_free_slots(
     sent: list[frames.Frame],
 ) -> None:
     """Requesting the body first would cost a round trip without need."""
     async with proxies.running() as mesh:
-        near = await far_target(mesh, slots=20)
+        host = await add_host_and_remote_target(mesh, slots=20)
         await asyncio.gather(
             *(
-                near.ask(
+                host.ask(
                     '/write/ok', method='POST', attempt=f'w{turn}', body=BODY
                 )
                 for turn in range(3)
--- a/testing/test_proxy_callers.py
+++ b/testing/test_proxy_callers.py
@@ -104,7 +104,7 @@
         ),
     ],
 )
-async def test_what_is_not_served_is_told_and_not_run(
+async def test_rejected_request_gets_its_status_and_is_not_run(
     raw: bytes, status: int
 ) -> None:
     async with proxies.pair() as (_, first, second):
@@ -125,7 +125,7 @@
         assert found == [f'p{number}' for number in range(5)]
 
 
-async def test_a_refusal_when_full_says_when_to_come_back() -> None:
+async def test_refusal_by_a_full_queue_has_retry_after() -> None:
     async with proxies.saturated_host() as host:
         host.proxy.guard.queue.times.mean_s = 10.0
         refused = await host.ask('/read/ok', attempt='h2')
@@ -134,7 +134,7 @@
         assert host.worker.attempts() == ['holds']
 
 
-async def test_the_operators_timeout_is_kept() -> None:
+async def test_configured_route_timeout_is_enforced() -> None:
     async with proxies.running() as mesh:
         text = proxies.config()
         for route in text['routes']:
@@ -147,17 +147,19 @@
         await conditions.until(lambda: bool(host.worker.dropped))
 
 
-async def test_an_instance_of_another_host_is_reached_by_its_guard() -> None:
+async def test_target_in_a_remote_zone_is_called_through_its_guard() -> None:
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config())
-        near = await mesh.add('a', zone='hel-a')
-        far = await mesh.add('b', zone='hel-b', service='vault')
-        await near.announce()
-        await far.announce()
+        local_host = await mesh.add('a', zone='hel-a')
+        remote_host = await mesh.add('b', zone='hel-b', service='vault')
+        await local_host.announce()
+        await remote_host.announce()
         await mesh.wait_ready('vault')
-        answer = await near.ask('/other/ok', method='POST', body=b'y' * 5000)
+        answer = await local_host.ask(
+            '/other/ok', method='POST', body=b'y' * 5000
+        )
         assert answer.status == 200
-        (run,) = far.worker.runs
+        (run,) = remote_host.worker.runs
         assert run.headers['x-caller-service'] == 'register'
         assert run.body == b'y' * 5000
 
@@ -165,18 +167,18 @@
 @pytest.mark.parametrize(
     ('attempt', 'inherited'),
     [
-        pytest.param('repeats.1', 1.0, id='call of a repeated run'),
+        pytest.param('repeats.1', 1.0, id='call of a retried run'),
         pytest.param('first.1', 0.0, id='call of a first run'),
         pytest.param('fresh', 0.0, id='request of a caller'),
     ],
 )
-async def test_calls_are_repeats_where_the_run_that_makes_them_is_one(
+async def test_calls_inherit_the_retry_weight_of_their_parent_run(
     attempt: str, inherited: float
 ) -> None:
-    """Guards against callers' requests counted as repeats.
+    """Guards against callers' requests counted as retries.
 
-    While a host ran repeats, all requests of its callers were counted as
-    repeats too.
+    While a host ran retries, all requests of its callers were counted as
+    retries too.
     """
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config())
--- a/testing/test_proxy_leaving.py
+++ b/testing/test_proxy_leaving.py
@@ -44,13 +44,13 @@
             [announcement('i-2', born=2000)],
             announcement('i-1', born=1000, sequence=99),
             'i-2',
-            id='dead incarnation, held up on the way',
+            id='delayed message of a dead incarnation',
         ),
         pytest.param(
             [announcement(born=1000, sequence=50)],
             announcement(born=2000, sequence=1),
             'i-1',
-            id='same id, started again',
+            id='same id, restarted',
         ),
         pytest.param(
             [
@@ -59,7 +59,7 @@
             ],
             announcement(born=1000, sequence=99),
             'i-1',
-            id='same id, word of the incarnation before',
+            id='same id, message of the earlier incarnation',
         ),
     ],
 )
@@ -77,7 +77,7 @@
     assert ready == current
 
 
-def test_a_target_that_left_stays_away_until_it_starts_again() -> None:
+def test_target_that_left_is_ignored_until_it_restarts() -> None:
     log = incarnations.InstanceTracker()
     log.offer(announcement(born=1000, sequence=3))
     assert log.leave('i-1', 1000)
@@ -85,7 +85,7 @@
     assert log.offer(announcement(born=3000, sequence=1))
 
 
-async def test_nothing_reaches_a_target_whose_drain_was_acknowledged() -> None:
+async def test_target_with_acknowledged_drain_gets_no_requests() -> None:
     """A target begins to drain while requests are queued for its slots.
 
     The queued requests go to another target, and it gets no further ones.
@@ -127,7 +127,7 @@
         assert len(second.worker.runs) == 6 + 5
 
 
-async def test_a_target_that_leaves_unannounced_gets_nothing_more() -> None:
+async def test_target_that_leaves_without_drain_gets_no_requests() -> None:
     async with proxies.pair() as (_, first, second):
         status = await first.send_rpc(
             'instances.leave', 'i-a', b'{"born":1000}'
@@ -162,7 +162,7 @@
         ),
     ],
 )
-async def test_spoiled_announcement_names_no_target(body: bytes) -> None:
+async def test_invalid_announcement_is_rejected(body: bytes) -> None:
     async with proxies.pair() as (_, first, _second):
         before = first.proxy.guard.status()
         status = await first.send_rpc('instances.heartbeat', 'i-x', body)
@@ -170,7 +170,7 @@
         assert first.proxy.guard.status() == before
 
 
-async def test_a_stopping_proxy_ends_what_it_has_begun(
+async def test_stopping_proxy_answers_its_pending_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A proxy answers all its requests before it stops.
@@ -184,21 +184,23 @@
         await conditions.until(
             lambda: not second.proxy.directory.own_candidate.ready
         )
-        here = asyncio.ensure_future(first.ask('/read/hold', attempt='h1'))
-        there = asyncio.ensure_future(
+        from_caller = asyncio.ensure_future(
+            first.ask('/read/hold', attempt='h1')
+        )
+        from_peer = asyncio.ensure_future(
             second.ask('/write/hold', method='POST', attempt='h2')
         )
         await conditions.until(lambda: len(first.worker.runs) == 2)
         leaving = asyncio.ensure_future(first.proxy.leave())
         await conditions.until(lambda: first.proxy.guard.leaving)
         first.worker.release.set()
-        answers = await asyncio.gather(here, there)
+        answers = await asyncio.gather(from_caller, from_peer)
         await leaving
         assert [one.status for one in answers] == [200, 200]
         assert answers[0].headers['connection'] == 'close'
 
 
-async def test_a_stopping_proxy_takes_nothing_new_while_it_ends_the_rest(
+async def test_stopping_proxy_accepts_no_new_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a stopping proxy that never becomes idle.
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -13,7 +13,7 @@
 from testing import proxies
 
 
-async def test_without_a_configuration_callers_are_told_to_come_back() -> None:
+async def test_daemon_without_configuration_answers_503() -> None:
     """A 404 would wrongly claim that the route doesn't exist."""
     async with proxies.running() as mesh:
         mesh.kv.status = 503
@@ -28,7 +28,7 @@
         assert (await host.ask('/read/ok')).status == 200
 
 
-async def test_versions_never_go_back() -> None:
+async def test_older_configuration_version_is_ignored() -> None:
     async with proxies.pair() as (mesh, first, _second):
         await mesh.kv.configure(proxies.config(9))
         await conditions.until(lambda: first.proxy.versions.version == 9)
@@ -39,26 +39,26 @@
 
 
 @pytest.mark.parametrize(
-    'spoil',
+    'invalid_fields',
     [
         pytest.param({'services': []}, id='service not listed'),
         pytest.param({'routes': [{'name': 'x'}]}, id='fields missing'),
         pytest.param({'routes': 'none'}, id='field of another type'),
-        pytest.param({'version': 'ten'}, id='no number'),
+        pytest.param({'version': 'ten'}, id='version is no number'),
     ],
 )
-async def test_a_bad_configuration_leaves_the_last_good_one(
-    spoil: dict[str, object],
+async def test_invalid_configuration_keeps_the_last_valid_one(
+    invalid_fields: dict[str, object],
 ) -> None:
     async with proxies.pair() as (mesh, first, _second):
         counts = first.proxy.counts
-        await mesh.kv.configure(proxies.config(5) | spoil)
+        await mesh.kv.configure(proxies.config(5) | invalid_fields)
         await conditions.until(lambda: counts.totals['config.bad'] > 0)
         assert (await first.ask('/read/ok')).status == 200
         assert first.proxy.versions.version == 1
 
 
-async def test_a_proxy_that_the_store_refuses_learns_from_peers(
+async def test_proxy_refused_by_the_store_fetches_from_peers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The store rejects the calls of one host only.  A version that is
@@ -79,14 +79,14 @@
         assert first.proxy.counts.totals['config.fetched']
 
 
-async def test_a_history_that_is_gone_is_read_anew() -> None:
+async def test_configuration_is_read_again_after_a_compaction() -> None:
     async with proxies.pair() as (mesh, first, _second):
         await mesh.kv.compact()
         await mesh.kv.configure(proxies.config(4))
         await conditions.until(lambda: first.proxy.versions.version == 4)
 
 
-async def test_a_lapsed_record_is_back_and_the_host_was_never_gone() -> None:
+async def test_expired_record_is_rewritten_and_its_host_stays_in_use() -> None:
     """Leases lapse during an outage of the store.  The host is alive and
     connected to its peers throughout, so it keeps getting requests, and its
     record is written again."""
@@ -105,7 +105,7 @@
         assert second.worker.runs
 
 
-async def test_foreign_records_name_no_host() -> None:
+async def test_undecodable_host_records_are_skipped() -> None:
     async with proxies.pair() as (mesh, first, _second):
         await mesh.kv.put('peridotpost/hosts/x', b'\xff\x00')
         await mesh.kv.put('peridotpost/hosts/y', b'{"host": 3}')
@@ -114,7 +114,7 @@
         assert set(first.proxy.directory.peers) == {'b'}
 
 
-async def test_a_proxy_started_without_the_store_is_told_by_peers() -> None:
+async def test_proxy_started_without_the_store_learns_from_peers() -> None:
     """A restarted daemon gets all its knowledge from the store.  During an
     outage its peers, which still have its record, dial it and send the
     rest."""
@@ -142,7 +142,7 @@
         assert (await again.ask('/read/ok')).status == 200
 
 
-async def test_a_slow_link_gets_differences_from_a_fast_neighbour() -> None:
+async def test_slow_link_gets_deltas_from_a_fast_neighbour() -> None:
     """Each version is some hundred KB, and there are several a second.  If a
     host with a slow link read them whole, no bandwidth would be left for its
     requests."""
@@ -163,7 +163,7 @@
 
 
 @pytest.fixture
-def read_all_the_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def constant_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     """Hosts with slow links read the store at each check, every 10 ms."""
     monkeypatch.setattr(
         'peridotpost.decisions.following.FOLLOWER_TIMEOUT_S', 0.0
@@ -174,8 +174,8 @@
     monkeypatch.setattr('peridotpost.decisions.following.HEARTBEAT_S', 0.01)
 
 
-async def test_a_slow_link_reads_the_store_when_no_neighbour_does(
-    read_all_the_time: None,
+async def test_slow_link_reads_the_store_when_no_neighbour_does(
+    constant_reads: None,
 ) -> None:
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config(1))
@@ -188,7 +188,7 @@
             )
 
 
-async def test_a_zone_without_fast_links_starts_with_another_ones_version(
+async def test_zone_without_fast_links_fetches_from_a_remote_zone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """After a power loss a zone refuses requests for two seconds.
@@ -216,7 +216,7 @@
         )
 
 
-async def test_a_first_configuration_is_asked_of_one_peer_at_a_time(
+async def test_first_configuration_is_fetched_from_one_peer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Sixty peers would each send the whole configuration."""
@@ -232,7 +232,7 @@
         assert third.proxy.counts.totals['config.fetched'] == 1
 
 
-async def test_those_with_slow_links_are_told_when_the_store_is_lost() -> None:
+async def test_slow_links_are_told_when_a_follower_loses_the_store() -> None:
     """Otherwise a host counts as following for seconds after the loss."""
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config(1))
@@ -244,8 +244,8 @@
         await conditions.until(lambda: 'fast' not in heard)
 
 
-async def test_a_slow_link_says_that_it_reads_the_store(
-    read_all_the_time: None,
+async def test_slow_link_announces_its_reads_of_the_store(
+    constant_reads: None,
 ) -> None:
     """No host follows the store, and both would read it all the time."""
     async with proxies.running() as mesh:
@@ -253,11 +253,11 @@
         first = await mesh.add('a', link_mbps=5.0)
         second = await mesh.add('b', link_mbps=5.0)
         await conditions.until(
-            lambda: any(map(_left_to_others, (first, second)))
+            lambda: any(map(_knows_of_a_peers_read, (first, second)))
         )
 
 
-def _left_to_others(host: proxies.Host) -> bool:
+def _knows_of_a_peers_read(host: proxies.Host) -> bool:
     return host.proxy.versions.following.peer_read_at > 0
 
 
@@ -265,7 +265,7 @@
     return all(host.proxy.versions.version == version for host in hosts)
 
 
-async def test_a_watch_lost_in_an_outage_is_sent_again_when_the_store_is_back(
+async def test_watch_lost_in_an_outage_is_resent_after_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The store goes silent; the watches sent meanwhile are never received.
@@ -291,7 +291,7 @@
             await conditions.until(functools.partial(_is_in_force, host, 3))
 
 
-async def test_after_a_watch_that_failed_the_configuration_is_read(
+async def test_configuration_is_read_after_a_failed_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The store compacts its history and no longer answers watches.
@@ -309,7 +309,7 @@
             await conditions.until(functools.partial(_is_in_force, host, 2))
 
 
-async def test_one_call_finds_out_when_the_store_is_back(
+async def test_one_loop_retries_during_a_store_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """During an outage every daemon would retry all its calls continuously.
@@ -341,7 +341,7 @@
             await conditions.until(functools.partial(_is_in_force, host, 3))
 
 
-async def test_hosts_that_start_together_find_each_other_by_one_read() -> None:
+async def test_hosts_that_start_together_read_the_records_once() -> None:
     """A fleet that starts at once would read all records repeatedly."""
     async with proxies.pair() as (_mesh, first, second):
         for host, other in ((first, 'b'), (second, 'a')):
@@ -354,7 +354,7 @@
             assert counts['store.calls.register'] == 1
 
 
-async def test_a_watch_that_fails_has_the_store_checked_by_renewals(
+async def test_renewals_check_the_store_after_a_failed_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Otherwise reads would go on until the next renewal is due."""
@@ -373,7 +373,7 @@
         assert reads <= 2 * 3
 
 
-async def test_slow_links_check_the_store_when_a_neighbour_follows_it_again(
+async def test_slow_links_retry_when_a_neighbour_follows_the_store(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each host of a large fleet would retry often throughout an outage."""
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -18,18 +18,18 @@
         pytest.param('ok', 200, 200, id='answers'),
         pytest.param('reset', 502, 502, id='resets instead of an answer'),
         pytest.param('closed', 502, 502, id='closes instead of an answer'),
-        pytest.param('truncated', 502, 502, id='breaks off its answer'),
-        pytest.param('garbage', 502, 502, id='sends no HTTP'),
-        pytest.param('unsigned', 502, 502, id='success without its mark'),
-        pytest.param('encoded', 502, 502, id='encoding nobody asked for'),
+        pytest.param('truncated', 502, 502, id='truncates its answer'),
+        pytest.param('garbage', 502, 502, id='sends invalid HTTP'),
+        pytest.param('unsigned', 502, 502, id='success without signature'),
+        pytest.param('encoded', 502, 502, id='unrequested encoding'),
         pytest.param('failed', 500, 500, id='fails'),
-        pytest.param('shed', 503, 503, id='says that it did not run it'),
+        pytest.param('shed', 503, 503, id='reports that it was not run'),
         pytest.param('unframed', 200, 200, id='ends its answer by closing'),
         pytest.param('second', 200, 200, id='answers twice'),
         pytest.param('foreign-first', 200, 200, id='late answer comes first'),
     ],
 )
-async def test_fault_reaches_the_caller_as_what_it_is(
+async def test_status_for_each_target_fault(
     action: str, read_status: int, write_status: int
 ) -> None:
     async with proxies.pair() as (_, first, second):
@@ -46,7 +46,7 @@
         assert ran.count('w1') <= 1
 
 
-async def test_answers_after_a_second_one_belong_to_their_requests() -> None:
+async def test_surplus_response_is_not_given_to_the_next_request() -> None:
     """Guards against responses shifted by one request on a connection.
 
     A target sends a second response to a request.  The next request on that
@@ -63,7 +63,7 @@
                 assert answer.body == b'done'
 
 
-async def test_an_answer_before_the_body_is_read_spoils_nothing() -> None:
+async def test_response_before_the_whole_body_was_read() -> None:
     """Guards against body bytes being read as part of the next request.
 
     A target responds to a large write after reading its headers only, and
@@ -97,7 +97,7 @@
             assert run.body in (b'', bodies.get(run.attempt))
 
 
-async def test_a_replaced_target_at_the_address_runs_nothing() -> None:
+async def test_target_that_took_over_an_address_refuses_requests() -> None:
     """A target ends unannounced and another one takes over its address.
 
     Requests for the first target reach the second one, which refuses them
@@ -111,7 +111,7 @@
         assert len(second.worker.runs) == 1
 
 
-async def test_a_crashed_target_is_left_out_until_it_is_back() -> None:
+async def test_crashed_target_gets_no_requests() -> None:
     async with proxies.pair() as (_, first, second):
         await first.worker.crash()
         answers = [
@@ -122,7 +122,7 @@
         assert len(second.worker.runs) == 4
 
 
-async def test_a_write_does_not_go_onto_a_connection_long_idle(
+async def test_write_is_not_sent_on_a_long_idle_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against writes lost on connections that the target dropped.
@@ -144,7 +144,7 @@
             assert answer.status == 200
 
 
-async def test_no_more_requests_at_once_than_the_target_has_slots() -> None:
+async def test_concurrent_requests_do_not_exceed_the_slots() -> None:
     """The target never gets a request that it has no free slot for.
 
     It would never respond on that connection again.
@@ -165,7 +165,7 @@
         assert host.worker.max_concurrency == 2
 
 
-async def test_a_request_that_waited_in_vain_is_refused_in_time() -> None:
+async def test_queued_request_is_refused_before_its_deadline() -> None:
     """Guards against an unknown outcome for a write that never started.
 
     No slot becomes free before the write's deadline.  At the deadline the
@@ -186,7 +186,7 @@
         assert host.worker.attempts() == ['holds']
 
 
-async def test_a_caller_that_leaves_stops_an_idempotent_run() -> None:
+async def test_idempotent_run_is_aborted_when_its_caller_disconnects() -> None:
     async with proxies.pair() as (_, first, second):
         async with first.caller() as caller:
             caller.send('/read/hold')
@@ -198,7 +198,7 @@
         )
 
 
-async def test_a_caller_that_leaves_does_not_cut_a_write() -> None:
+async def test_write_continues_when_its_caller_disconnects() -> None:
     """A non-idempotent run is not aborted when its caller disconnects.
 
     Aborted halfway, it could not be retried.
@@ -220,7 +220,7 @@
     return not host.worker.running
 
 
-async def test_a_request_that_crashes_its_targets_is_refused() -> None:
+async def test_request_that_crashes_its_targets_is_refused() -> None:
     """Guards against the loss of all targets to one crashing request.
 
     The request crashes each target that runs it, and its caller retries it.
@@ -247,9 +247,7 @@
         assert answer.status == 200
 
 
-async def test_a_failed_read_is_answered_when_no_guard_takes_its_repeat() -> (
-    None
-):
+async def test_failure_is_delivered_when_its_retry_is_refused() -> None:
     """The target's failed response is delivered instead of a refusal."""
     async with proxies.pair() as (_mesh, first, second):
         for host in (first, second):
@@ -265,7 +263,7 @@
         assert sum(refused) == 1
 
 
-async def test_peers_that_sent_nothing_know_which_target_fails() -> None:
+async def test_idle_ingress_learns_which_target_fails() -> None:
     """Guards against each ingress losing writes to a failing target.
 
     An ingress only learned of the failures from its own lost writes.
@@ -286,7 +284,7 @@
         )
 
 
-async def test_a_second_stream_of_a_peer_does_not_cut_the_first_one() -> None:
+async def test_second_stream_to_a_peer_does_not_close_the_first() -> None:
     """A peer connects to a dead host's address that this host took over."""
     async with proxies.pair() as (_mesh, first, second):
         directory = first.proxy.directory
@@ -304,7 +302,7 @@
         assert directory.peers['b'].stream is stream
 
 
-async def test_an_address_that_another_host_took_over_is_not_dialled() -> None:
+async def test_address_taken_over_by_another_host_is_not_dialled() -> None:
     """A host's record outlives the host, and a new host has its address."""
     async with proxies.pair() as (_mesh, first, second):
         gone = dataclasses.replace(
@@ -322,7 +320,7 @@
             assert host.proxy.counts.totals['peers.dialled'] == dialled
 
 
-async def test_requests_turned_away_unrun_are_no_failures() -> None:
+async def test_shed_requests_are_not_counted_as_failures() -> None:
     async with proxies.pair() as (_mesh, first, second):
         for number in range(8):
             await first.ask('/write/shed', method='POST', attempt=f'w{number}')
--- a/testing/test_releasecoordinator.py
+++ b/testing/test_releasecoordinator.py
@@ -99,7 +99,7 @@
         monkeypatch.setattr(module, name, value)
 
 
-async def led(feed: ScriptedFeed) -> ScriptedFleet:
+async def run_coordinator(feed: ScriptedFeed) -> ScriptedFleet:
     """Run a coordinator until it returns; return its fleet."""
     fleet = ScriptedFleet(feed)
     coordinator = releasecoordinator.Coordinator(
@@ -113,26 +113,24 @@
     return fleet
 
 
-async def test_an_end_whose_answer_was_lost_is_not_rolled_back() -> None:
+async def test_completion_with_a_lost_response_is_not_rolled_back() -> None:
     """The write took effect, so the old targets are already stopped."""
     feed = ScriptedFeed(NONE, lost=2)
-    fleet = await led(feed)
+    fleet = await run_coordinator(feed)
     assert release.Stage.ROLLED_BACK not in fleet.announced
     assert fleet.announced[-1] is release.Stage.COMPLETED
 
 
-async def test_an_end_that_came_before_the_claim_stands() -> None:
+async def test_completion_before_the_claim_is_adopted() -> None:
     """The previous coordinator ends the release after the status was read."""
     ended = release.ReleaseStatus(release.Stage.COMPLETED, 'v2', 12)
     feed = ScriptedFeed(NONE, ended)
-    fleet = await led(feed)
+    fleet = await run_coordinator(feed)
     assert feed.written == []
     assert fleet.announced == [release.Stage.COMPLETED]
 
 
-async def test_the_end_of_an_earlier_order_is_not_taken_for_this_ones() -> (
-    None
-):
+async def test_final_status_of_an_earlier_order_is_ignored() -> None:
     former = release.ReleaseStatus(release.Stage.ROLLED_BACK, 'v2', 5)
-    fleet = await led(ScriptedFeed(former))
+    fleet = await run_coordinator(ScriptedFeed(former))
     assert fleet.announced[-1] is release.Stage.COMPLETED
--- a/testing/test_releaseplan.py
+++ b/testing/test_releaseplan.py
@@ -55,7 +55,7 @@
         pytest.param(10.2, release.Stage.DRAIN, 1.0, id='drain'),
     ],
 )
-def test_a_good_version_takes_over_before_the_deadline(
+def test_healthy_version_gets_all_requests_before_the_deadline(
     seconds: float, stage: release.Stage, share: float
 ) -> None:
     plan = plan_at(seconds, view())
@@ -67,32 +67,32 @@
     ('fleet_view', 'stage'),
     [
         pytest.param(
-            view(new_runs=5), release.Stage.CANARY, id='too few runs to tell'
+            view(new_runs=5), release.Stage.CANARY, id='too few runs'
         ),
         pytest.param(
-            view(store=False), release.Stage.CANARY, id='store is out'
+            view(store=False), release.Stage.CANARY, id='store unavailable'
         ),
         pytest.param(
             view(new_hosts=()), release.Stage.CANARY, id='no target yet'
         ),
         pytest.param(
-            view(failed=40), release.Stage.ROLLED_BACK, id='it fails'
+            view(failed=40), release.Stage.ROLLED_BACK, id='new version fails'
         ),
     ],
 )
-def test_what_holds_a_release_up_or_ends_it(
+def test_conditions_that_delay_or_roll_back_a_release(
     fleet_view: releaseplan.FleetView, stage: release.Stage
 ) -> None:
     assert plan_at(14.0, fleet_view).stage is stage
 
 
-def test_a_version_without_a_target_is_given_up() -> None:
+def test_version_without_a_target_is_rolled_back() -> None:
     fleet_view = view(new_hosts=(), new_runs=0)
     assert plan_at(23.0, fleet_view).stage is release.Stage.ROLLED_BACK
 
 
 @pytest.mark.parametrize('seconds', [5.0, 9.3, 10.5])
-def test_a_version_that_turns_bad_is_rolled_back_at_any_stage(
+def test_version_that_turns_bad_is_rolled_back_in_any_stage(
     seconds: float,
 ) -> None:
     plan = plan_at(seconds, view())
@@ -102,7 +102,7 @@
     assert plan.share(seconds) == 0.0
 
 
-def test_a_deadline_too_short_for_a_verdict_is_missed() -> None:
+def test_release_exceeds_a_deadline_too_short_for_a_verdict() -> None:
     """Completing late costs less than a bad version serving all requests."""
     assert plan_at(2.0, view(), 1.0).stage is release.Stage.CANARY
     assert plan_at(3.1, view(), 1.0).stage is release.Stage.SHIFT
@@ -111,36 +111,40 @@
 @pytest.mark.parametrize(
     ('fleet_view', 'is_drained'),
     [
-        pytest.param(view(drained=('a', 'b')), True, id='all end'),
-        pytest.param(view(drained=('a',)), False, id='one runs'),
+        pytest.param(view(drained=('a', 'b')), True, id='all drained'),
+        pytest.param(
+            view(drained=('a',)), False, id='one still runs requests'
+        ),
         pytest.param(
             view(drained=('a', 'b'), old_hosts=('a', 'b', 'x')),
             False,
-            id='one that can not be asked',
+            id='one without a report',
         ),
         pytest.param(
-            view(drained=('a', 'b'), store=False), False, id='store is out'
+            view(drained=('a', 'b'), store=False),
+            False,
+            id='store unavailable',
         ),
     ],
 )
-def test_it_completes_when_nothing_runs_on_the_old_version(
+def test_drain_ends_when_nothing_runs_on_the_old_version(
     fleet_view: releaseplan.FleetView, is_drained: bool
 ) -> None:
     assert plan_at(11.0, view()).is_drained(fleet_view) is is_drained
     assert not plan_at(5.0, view()).is_drained(fleet_view)
 
 
-def test_a_coordinator_that_takes_over_meets_the_fleet_first() -> None:
+def test_new_coordinator_learns_the_targets_before_completing() -> None:
     """At first it knows no targets, while old ones still run requests."""
     plan = releaseplan.ReleasePlan(ORDER, 0.1, 0.0, 11.0, release.Stage.DRAIN)
-    nobody = releaseplan.FleetView((), (), (), True)
-    plan.step(nobody, 11.1)
-    assert not plan.is_drained(nobody)
-    plan.step(nobody, 14.1)
-    assert plan.is_drained(nobody)
+    empty = releaseplan.FleetView((), (), (), True)
+    plan.step(empty, 11.1)
+    assert not plan.is_drained(empty)
+    plan.step(empty, 14.1)
+    assert plan.is_drained(empty)
 
 
-def test_the_canary_share_goes_to_one_target_after_the_other() -> None:
+def test_canary_targets_take_turns() -> None:
     plan = plan_at(0.0, view())
     focused_hosts = [plan.focus(view(), now) for now in (0.5, 1.5, 2.5)]
     assert focused_hosts == ['c', 'd', 'c']
--- a/testing/test_releases.py
+++ b/testing/test_releases.py
@@ -72,13 +72,13 @@
     return known.stage if known is not None else None
 
 
-async def end_lead(mesh: proxies.Mesh) -> str:
+async def stop_coordinator(mesh: proxies.Mesh) -> str:
     """Stop the release's coordinator and end its lease; return its host."""
     claim = mesh.kv.items[COORDINATOR]
-    leader = claim.value.decode()
-    await mesh.hosts[leader].proxy.releases.close()
+    host = claim.value.decode()
+    await mesh.hosts[host].proxy.releases.close()
     await mesh.kv.end_lease(claim.lease)
-    return leader
+    return host
 
 
 def runs(mesh: proxies.Mesh, *names: str) -> int:
@@ -121,14 +121,14 @@
         await asyncio.gather(*callers, return_exceptions=True)
 
 
-async def test_a_new_version_gets_nothing_without_an_order() -> None:
+async def test_new_version_gets_no_requests_without_an_order() -> None:
     async with two_versions() as mesh, traffic(mesh) as statuses:
         await conditions.until(lambda: len(statuses) >= 200)
         assert runs(mesh, 'c', 'd') == 0
         assert set(statuses) == {200}
 
 
-async def test_a_good_version_takes_the_service_over() -> None:
+async def test_healthy_version_replaces_the_old_one() -> None:
     async with two_versions() as mesh, traffic(mesh) as statuses:
         await order(mesh)
         await has_status(mesh, 'running v2')
@@ -142,7 +142,7 @@
         assert set(statuses) == {200}
 
 
-async def test_a_version_that_fails_is_rolled_back() -> None:
+async def test_failing_version_is_rolled_back() -> None:
     async with two_versions() as mesh, traffic(mesh, 'failed') as statuses:
         await order(mesh)
         await has_status(mesh, 'rolled_back v2')
@@ -159,19 +159,19 @@
         assert set(statuses) <= {200, 500}
 
 
-async def test_another_daemon_goes_on_when_the_coordinator_ends() -> None:
+async def test_release_continues_after_its_coordinator_is_killed() -> None:
     """The coordinator is killed and its lease lapses."""
     async with two_versions() as mesh, traffic(mesh):
         await order(mesh, durationS=3.0)
         await has_status(mesh, 'running v2')
-        leader = await end_lead(mesh)
+        former = await stop_coordinator(mesh)
         await has_status(mesh, 'completed v2')
         known = mesh.hosts['a'].proxy.releases.split.state('register')
-        assert known is not None and known.coordinator != leader
+        assert known is not None and known.coordinator != former
 
 
-async def test_a_roll_back_is_written_though_its_coordinator_ends() -> None:
-    """The coordinator is killed between announcing and writing it."""
+async def test_rollback_is_written_after_its_coordinator_is_killed() -> None:
+    """The coordinator is killed after announcing it, before writing it."""
     async with two_versions() as mesh, traffic(mesh, 'failed'):
         await order(mesh, durationS=30.0)
         await has_status(mesh, 'running v2')
@@ -179,12 +179,12 @@
         await conditions.until(
             lambda: stage_at(mesh.hosts['a']) is release.Stage.ROLLED_BACK
         )
-        await end_lead(mesh)
+        await stop_coordinator(mesh)
         mesh.kv.status = 0
         await has_status(mesh, 'rolled_back v2')
 
 
-async def test_a_daemon_that_joins_is_told_of_a_roll_back() -> None:
+async def test_joining_daemon_learns_of_a_rollback() -> None:
     async with two_versions() as mesh:
         async with traffic(mesh, 'failed'):
             await order(mesh)
@@ -197,7 +197,7 @@
         assert not host.proxy.guard.status().ready
 
 
-async def test_a_second_order_replaces_the_first() -> None:
+async def test_second_order_replaces_the_first() -> None:
     """The operator orders v3 while v2 is still being evaluated."""
     async with two_versions() as mesh, traffic(mesh):
         await order(mesh, durationS=60.0)
@@ -209,7 +209,7 @@
         assert not mesh.hosts['c'].proxy.guard.status().ready
 
 
-async def test_an_order_for_the_version_in_force_completes() -> None:
+async def test_order_for_the_current_version_completes() -> None:
     async with two_versions() as mesh, traffic(mesh):
         await order(mesh)
         await has_status(mesh, 'completed v2')
@@ -238,7 +238,7 @@
         pytest.param(b'{"targetVersion": "", "durationS": 5}', id='empty'),
     ],
 )
-async def test_an_order_that_can_not_be_used_moves_nothing(
+async def test_invalid_order_is_ignored(
     raw: bytes,
 ) -> None:
     async with two_versions() as mesh, traffic(mesh) as statuses:
--- a/testing/test_releasesplit.py
+++ b/testing/test_releasesplit.py
@@ -59,17 +59,17 @@
     return split
 
 
-def test_without_an_order_a_new_version_gets_nothing() -> None:
+def test_new_version_is_not_eligible_without_an_order() -> None:
     """New targets start idle before the order and would attract requests."""
     many = [*KNOWN, target('d', 'v2'), target('e', 'v2')]
     assert hosts(settled(), known=many) == 'ab'
 
 
-def test_a_version_is_served_that_alone_is_left() -> None:
+def test_only_remaining_version_is_eligible() -> None:
     assert hosts(settled(), known=[target('c', 'v2')]) == 'c'
 
 
-def test_the_host_of_a_new_target_sends_to_the_old_ones() -> None:
+def test_host_of_a_new_target_prefers_the_old_version() -> None:
     """The daemon of a new target's host starts with it and sees it first."""
     split = releasesplit.ReleaseSplit()
     assert hosts(split, known=[KNOWN[2]], now=0.0) == 'c'
@@ -77,7 +77,7 @@
     assert hosts(split, now=50.0) == 'ab'
 
 
-def test_the_share_holds_while_ingresses_come_and_go(
+def test_canary_share_is_not_exceeded_while_ingresses_restart(
     randomness: random.Random,
 ) -> None:
     """Ingresses restart often and lose their counts."""
@@ -99,7 +99,7 @@
     assert new > 0.02 * total
 
 
-def test_an_ingress_that_hears_nothing_sends_nothing_new() -> None:
+def test_ingress_without_updates_sends_no_canary_requests() -> None:
     split = releasesplit.ReleaseSplit()
     split.offer(state(share=0.5), 0.0)
     split.ran('bonds', 'v1')
@@ -110,7 +110,7 @@
     )
 
 
-def test_the_focus_gets_the_canary_share() -> None:
+def test_canary_host_gets_the_canary_share() -> None:
     split = releasesplit.ReleaseSplit()
     known = [*KNOWN, target('d', 'v2')]
     split.offer(state(canary_host='d'), 0.0)
@@ -133,7 +133,7 @@
         ),
     ],
 )
-def test_stages_say_who_is_served(
+def test_eligible_targets_of_each_stage(
     stage: release.Stage, served: str, old_refuses: bool, new_refuses: bool
 ) -> None:
     split = releasesplit.ReleaseSplit()
@@ -145,12 +145,14 @@
 
 
 @pytest.mark.parametrize(
-    ('told', 'is_news'),
+    ('offered', 'adopted'),
     [
-        pytest.param(state(number=3), True, id='next word'),
-        pytest.param(state(number=1), False, id='late word'),
+        pytest.param(state(number=3), True, id='newer number'),
+        pytest.param(state(number=1), False, id='older number'),
         pytest.param(state(epoch=12, number=1), True, id='next coordinator'),
-        pytest.param(state(epoch=9, number=7), False, id='former one'),
+        pytest.param(
+            state(epoch=9, number=7), False, id='earlier coordinator'
+        ),
         pytest.param(
             state(release.Stage.ROLLED_BACK, epoch=9), True, id='final'
         ),
@@ -162,22 +164,22 @@
         pytest.param(
             state(order=release.ReleaseOrder('bonds', 'v0', 9.0, 5)),
             False,
-            id='former order',
+            id='earlier order',
         ),
     ],
 )
-def test_the_newest_word_counts(
-    told: release.ReleaseState, is_news: bool
+def test_only_newer_states_are_adopted(
+    offered: release.ReleaseState, adopted: bool
 ) -> None:
     split = releasesplit.ReleaseSplit()
     split.offer(state(number=2), 0.0)
-    assert split.offer(told, 0.0) is is_news
+    assert split.offer(offered, 0.0) is adopted
 
 
 @pytest.mark.parametrize(
     'final', [release.Stage.ROLLED_BACK, release.Stage.COMPLETED]
 )
-def test_a_paused_coordinator_does_not_undo_an_end(
+def test_paused_coordinator_does_not_revert_a_final_stage(
     final: release.Stage,
 ) -> None:
     split = releasesplit.ReleaseSplit()
@@ -187,7 +189,7 @@
     assert known is not None and known.stage is final
 
 
-def test_a_version_that_was_not_let_through_stays_without_work() -> None:
+def test_rejected_version_gets_no_requests_in_the_next_release() -> None:
     """A second order arrives while the first version is still evaluated."""
     split = releasesplit.ReleaseSplit()
     split.offer(state(), 0.0)
--- a/testing/test_returning.py
+++ b/testing/test_returning.py
@@ -25,15 +25,15 @@
 @pytest.mark.parametrize(
     ('fingerprint', 'route', 'now', 'known'),
     [
-        pytest.param('f', 'issue', 1.5, True, id='comes again'),
+        pytest.param('f', 'issue', 1.5, True, id='retried'),
         pytest.param('g', 'issue', 1.5, False, id='another request'),
         pytest.param(
-            'f', 'release', 1.5, False, id='the path moved to a route'
+            'f', 'release', 1.5, False, id='path now belongs to another route'
         ),
         pytest.param('f', 'issue', 2.0, False, id='after its deadline'),
     ],
 )
-def test_a_request_is_known_when_it_comes_again(
+def test_refused_request_is_recognized_at_its_retry(
     fingerprint: str, route: str, now: float, known: bool
 ) -> None:
     refused = refusedrequests.RefusedRequests()
@@ -41,14 +41,14 @@
     assert (refused.take(fingerprint, route, now) is not None) is known
 
 
-def test_a_memory_serves_once() -> None:
+def test_remembered_attempt_is_returned_once() -> None:
     refused = refusedrequests.RefusedRequests()
     refused.refused('f', make_attempt())
     assert refused.take('f', 'issue', 1.1) == make_attempt()
     assert refused.take('f', 'issue', 1.2) is None
 
 
-def test_the_memory_is_bounded() -> None:
+def test_remembered_attempts_are_bounded() -> None:
     refused = refusedrequests.RefusedRequests()
     for number in range(refusedrequests.MAX_REMEMBERED + 10):
         refused.refused(f'f{number}', make_attempt())
@@ -97,7 +97,7 @@
         self.refused.refused(name, attempt)
 
 
-def test_a_refused_request_does_not_move_to_another_part() -> None:
+def test_refused_requests_keep_their_split_assignment() -> None:
     """Guards against skewed split weights while one service is overloaded.
 
     The service with the larger share refuses most requests.  If retries are
@@ -110,7 +110,7 @@
     assert SplitUnderLoad(remembering=False).run() > 0.35
 
 
-async def test_a_part_is_kept_by_a_caller_that_comes_again() -> None:
+async def test_retry_goes_to_the_service_first_assigned() -> None:
     """Guards against a retry served by the other service of a split.
 
     The first service has no target, so the caller gets 503 and retries.  If
@@ -138,7 +138,7 @@
         await conditions.until(lambda: len(host.worker.runs) == 1)
 
 
-async def test_the_objective_runs_from_the_first_attempt() -> None:
+async def test_objective_is_measured_from_the_first_attempt() -> None:
     """Lateness of a retry is measured from the caller's first attempt."""
     async with proxies.running() as running_mesh:
         await running_mesh.kv.configure(proxies.config())
--- a/testing/test_selection.py
+++ b/testing/test_selection.py
@@ -34,18 +34,20 @@
     return counts
 
 
-def test_the_own_zone_serves_what_it_can(randomness: random.Random) -> None:
+def test_own_zone_is_preferred_to_a_faster_remote_target(
+    randomness: random.Random,
+) -> None:
     counts = selections([target('a'), target('b', 'remote', 0.03)], randomness)
     assert counts['a'] == 2000
 
 
-def test_a_full_zone_uses_other_zones(randomness: random.Random) -> None:
+def test_full_zone_uses_remote_zones(randomness: random.Random) -> None:
     full = target('a', load=5.0)
     counts = selections([full, target('b', 'remote')], randomness)
     assert counts['b'] > 1500
 
 
-def test_a_free_slot_of_a_slow_target_goes_before_a_fast_queue(
+def test_free_slot_of_a_slow_target_is_preferred_to_a_queue(
     randomness: random.Random,
 ) -> None:
     """Guards against queues at fast targets while slow ones have free slots.
@@ -58,12 +60,12 @@
     assert selections([fast, slow], randomness, objective_s=0.9)['b'] > 1000
 
 
-def test_the_own_zone_serves_while_it_has_a_free_slot(
+def test_own_zone_is_used_while_it_has_a_free_slot(
     randomness: random.Random,
 ) -> None:
     """Guards against needless cross-zone traffic.
 
-    Idle targets of other zones look better at any load of the own zone.
+    Idle targets of remote zones look better at any load of the own zone.
     """
     local = target('a', run_s=0.1, load=0.8)
     remote = target('b', 'remote', run_s=0.05)
@@ -75,11 +77,11 @@
 @pytest.mark.parametrize(
     ('remote_load', 'crosses'),
     [
-        pytest.param(0.4, True, id='a free slot elsewhere'),
-        pytest.param(1.0, False, id='no free slot elsewhere'),
+        pytest.param(0.4, True, id='free slot in a remote zone'),
+        pytest.param(1.0, False, id='no free slot in a remote zone'),
     ],
 )
-def test_a_zone_short_of_slots_uses_those_of_other_zones(
+def test_queued_zone_uses_free_slots_of_remote_zones(
     remote_load: float, crosses: bool, randomness: random.Random
 ) -> None:
     """Guards against refusals while another zone has free slots.
@@ -95,7 +97,7 @@
     assert (counts['b'] > 1500) is crosses
 
 
-def test_a_full_zone_does_not_use_an_equally_full_one(
+def test_full_zone_does_not_use_an_equally_full_one(
     randomness: random.Random,
 ) -> None:
     # Cross-zone traffic is paid for and gains nothing here.
@@ -103,7 +105,7 @@
     assert selections(full, randomness)['a'] == 2000
 
 
-def test_a_slow_target_gets_fewer_requests_but_some(
+def test_slow_target_gets_fewer_requests_but_some(
     randomness: random.Random,
 ) -> None:
     # If the fastest target were always taken, one that just joined and is
@@ -112,7 +114,7 @@
     assert 100 < counts['b'] < 500
 
 
-def test_a_failing_target_gets_few_requests(
+def test_failing_target_gets_few_requests(
     randomness: random.Random,
 ) -> None:
     failing = target('a')
@@ -146,7 +148,7 @@
         assert least <= healthy / 1000 <= most
 
 
-def test_failures_of_all_targets_move_no_requests(
+def test_failures_of_all_targets_shift_no_requests(
     randomness: random.Random,
 ) -> None:
     """Guards against reacting to a fault further downstream.
@@ -160,7 +162,7 @@
     assert min(counts.values()) > 100
 
 
-def test_a_target_that_recovered_is_used_again(
+def test_recovered_target_is_used_again(
     randomness: random.Random,
 ) -> None:
     failing = target('a')
@@ -180,7 +182,7 @@
     assert selector.choose(both, 'r', {'a', 'b'}, 0.2, 0.0) is None
 
 
-def test_a_short_route_is_not_judged_by_the_mean_over_routes(
+def test_short_route_is_estimated_by_its_own_run_times(
     randomness: random.Random,
 ) -> None:
     """Guards against needless zone crossings of a short route.
@@ -197,7 +199,7 @@
     )
 
 
-def test_a_target_that_joins_gets_requests_of_a_short_route(
+def test_joining_target_gets_requests_of_a_short_route(
     randomness: random.Random,
 ) -> None:
     """Guards against a new target that gets no requests.
@@ -211,12 +213,12 @@
     assert selections([old, new], randomness)['b'] > 100
 
 
-def test_no_other_zone_is_tried_when_all_are_known_to_be_full(
+def test_remote_zones_known_to_be_full_are_not_tried(
     randomness: random.Random,
 ) -> None:
     """Guards against useless cross-zone attempts under a surge.
 
-    Each request tried three full targets in other zones.  These attempts all
+    Each request tried three full targets in remote zones.  These attempts all
     failed and made up most of the traffic between zones.
     """
     selector = selection.Selector('own', randomness)
@@ -226,7 +228,7 @@
     assert found is not None and found.host == 'a'
 
 
-def test_a_replaced_target_starts_without_measurements() -> None:
+def test_replaced_target_starts_without_measurements() -> None:
     candidate = target('a')
     candidate.update_state('register', 'i-1', 4, True)
     for _ in range(10):
--- a/testing/test_slots.py
+++ b/testing/test_slots.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     ('waiting', 'last', 'queued'),
     [
-        pytest.param(0, False, True, id='a slot soon'),
+        pytest.param(0, False, True, id='slot free soon'),
         pytest.param(6, False, False, id='late, another target left'),
         pytest.param(3, True, True, id='late, no other target left'),
         pytest.param(4, True, False, id='late, one late request queued'),
@@ -35,7 +35,7 @@
         pytest.param(40, True, False, id='no answer before the deadline'),
     ],
 )
-def test_a_request_is_queued_only_if_that_helps(
+def test_which_requests_are_queued(
     waiting: int, last: bool, queued: bool, randomness: random.Random
 ) -> None:
     queue = slots.SlotQueue(2, randomness)
@@ -46,7 +46,7 @@
     assert (refused == []) is queued
 
 
-def test_a_request_that_can_not_end_in_time_is_refused_when_a_slot_frees(
+def test_request_that_would_miss_its_deadline_is_refused(
     randomness: random.Random,
 ) -> None:
     queue = slots.SlotQueue(1, randomness)
--- a/testing/test_stalls.py
+++ b/testing/test_stalls.py
@@ -12,7 +12,7 @@
 from testing import proxies
 
 
-async def test_a_daemon_tells_that_it_stood_still(
+async def test_stalled_daemon_logs_delay_and_cpu_time(
     tmp_path: pathlib.Path,
 ) -> None:
     """A process is not scheduled for a while.
@@ -42,7 +42,7 @@
     assert starved['cpu_ms'] < 500 <= busy['cpu_ms']
 
 
-async def test_the_sweep_looks_for_stalls(
+async def test_sweep_detects_stalls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(daemon, 'STALL_THRESHOLD_S', -1.0)
--- a/testing/test_urgency.py
+++ b/testing/test_urgency.py
@@ -35,7 +35,7 @@
         assert host.worker.attempts() == ['h', 'w', 'r']
 
 
-async def test_a_log_line_and_a_metric_tell_the_rank() -> None:
+async def test_rank_is_logged_and_counted() -> None:
     async with proxies.pair() as (_, first, _second):
         assert (await first.ask('/read/failed')).status == 500
         series = first.proxy.metrics.histograms
--- a/testing/test_verdict.py
+++ b/testing/test_verdict.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ('behaviour', 'least_found', 'most_spoiled'),
+    ('behaviour', 'min_detected_share', 'max_bad_runs'),
     [
         pytest.param(
             releaseload.Behaviour(failing=0.5), 1.0, 50, id='half fail at once'
@@ -59,18 +59,20 @@
         ),
     ],
 )
-def test_a_bad_version_is_found_before_it_spoils_many_runs(
-    behaviour: releaseload.Behaviour, least_found: float, most_spoiled: int
+def test_bad_version_is_detected_within_few_bad_runs(
+    behaviour: releaseload.Behaviour,
+    min_detected_share: float,
+    max_bad_runs: int,
 ) -> None:
     counts = [
         bad_runs_until_found({'r': behaviour}, seed) for seed in range(TRIALS)
     ]
     bad_runs = [count for count in counts if count is not None]
-    assert len(bad_runs) >= least_found * TRIALS
-    assert max(bad_runs) <= most_spoiled
+    assert len(bad_runs) >= min_detected_share * TRIALS
+    assert max(bad_runs) <= max_bad_runs
 
 
-def test_a_version_that_fails_one_route_is_found() -> None:
+def test_version_that_fails_on_one_route_is_detected() -> None:
     """One of three routes fails 60 % of its runs, 20 % of all runs."""
     routes = {
         'a': releaseload.Behaviour(),
@@ -84,21 +86,19 @@
 @pytest.mark.parametrize(
     'behaviour',
     [
-        pytest.param(releaseload.Behaviour(), id='as the old one'),
+        pytest.param(releaseload.Behaviour(), id='same as the old one'),
         pytest.param(releaseload.Behaviour(failing=0.0), id='fails less'),
         pytest.param(releaseload.Behaviour(work_s=0.1), id='faster'),
     ],
 )
-def test_a_good_version_is_let_through(
+def test_healthy_version_is_not_rejected(
     behaviour: releaseload.Behaviour,
 ) -> None:
     for seed in range(TRIALS):
         assert bad_runs_until_found({'r': behaviour}, seed) is None
 
 
-def test_failures_that_the_old_version_shows_too_are_not_the_new_ones() -> (
-    None
-):
+def test_failures_common_to_both_versions_are_not_counted() -> None:
     """Downstream calls fail, and with them a third of the runs of both."""
     randomness = random.Random(7)
     behaviour = releaseload.Behaviour(failing=0.33)
@@ -112,7 +112,7 @@
         assert judge.judge({'r': old}, {'r': new}) is None, tick
 
 
-def test_a_busy_process_is_not_a_slow_version() -> None:
+def test_longer_runs_in_a_busy_process_are_not_counted_as_slow() -> None:
     """Runs of 2 ms take 8 ms on a new target that gets all requests."""
     randomness = random.Random(3)
     judge = verdict.CanaryJudge()
@@ -135,5 +135,5 @@
         pytest.param(0.1, 12, id='a tenth of a second'),
     ],
 )
-def test_run_times_fall_into_buckets(run_s: float, bucket: int) -> None:
+def test_bucket_of_a_run_time(run_s: float, bucket: int) -> None:
     assert verdict.bucket_of(run_s) == bucket
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -249,7 +249,7 @@
         pytest.param(40, 90_000, id='a-rack-changed'),
     ],
 )
-def test_greeting_among_5200_members_is_bounded_in_bytes(
+def test_hello_exchange_of_5200_members_is_bounded_in_bytes(
     changed: int, bound: int
 ) -> None:
     # Many children move to new parents, each knowing the whole fleet.
