--- a/testing/routeload.py
+++ b/testing/routeload.py
@@ -103,16 +103,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """Outcomes of the calls, and their number by target."""
+    """Outcomes of the calls, and the number of calls by host.
+
+    ``second_half_calls`` counts those sent in the second half of the run.
+    """
 
     outcomes: collections.Counter[str]
     calls: collections.Counter[str]
-    latest: collections.Counter[str]
+    second_half_calls: collections.Counter[str]
 
     def share(self, outcome: str) -> float:
         return self.outcomes[outcome] / self.outcomes.total()
 
-    def share_of(self, number: int) -> float:
+    def call_share(self, number: int) -> float:
+        """Return the share of all calls sent to host `number`."""
         return self.calls[f'h{number}'] / self.calls.total()
 
 
@@ -126,15 +130,18 @@
 
 def drive(
     targets: list[FakeTarget],
-    make: Callable[[str, random.Random], Ingress],
+    make_ingress: Callable[[str, random.Random], Ingress],
     *,
     zones: tuple[str, ...] = ('a',) * 8,
     load: float = 0.6,
     seconds: float = 4.0,
 ) -> Run:
-    """Send calls at `load` times the capacity of the healthy targets."""
+    """Send calls at `load` times the capacity of the targets when healthy.
+
+    :param zones: the availability zone of each ingress.
+    """
     randomness = random.Random(7)
-    ingresses = [make(zone, randomness) for zone in zones]
+    ingresses = [make_ingress(zone, randomness) for zone in zones]
     endpoints = [one.endpoint for one in targets]
     by_host = {one.endpoint.host: one for one in targets}
     gates = {
@@ -204,7 +211,7 @@
         key = loadbalancing.target_key(chosen)
         run.calls[chosen.host] += 1
         if now > seconds / 2:
-            run.latest[chosen.host] += 1
+            run.second_half_calls[chosen.host] += 1
         ingress.loads.sent(key)
         ingress.ejector.note_attempt(key, now)
         ticket = fairness.Ticket('', '', gateload.SHORT, now, now + DEADLINE_S)
--- a/testing/soak/invariants.py
+++ b/testing/soak/invariants.py
@@ -21,6 +21,7 @@
 ANSWER_SLACK_S = 1.0
 """Delay of a response after its deadline that a busy machine may cause."""
 REMAINING_SLACK_S = 0.5
+"""Tolerance when comparing the remaining time that a target was given."""
 RECOVERY_S = 8.0
 """Time after the last fault until the fleet serves as before."""
 MIN_SERVED_SHARE = 0.95
@@ -28,6 +29,8 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 SERVICE_BY_PREFIX = {'other': 'vault'}
 RETRY_RATIO, RETRY_BURST, RETRY_WINDOW_S = 0.2, 60, 10.0
+"""In any window, a service gets at most this many retries per request, plus
+the burst."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -328,7 +331,7 @@
 
 def _check_recovery(history: History) -> Iterator[Violation]:
     start = history.observed.faults_ended_at + RECOVERY_S
-    late = [
+    after_recovery = [
         one
         for one in history.observed.requests
         if one.sent > start
@@ -336,15 +339,16 @@
         and not one.route_version
         and one.ending is not records.Ending.LEFT
     ]
-    served = sum(one.status == 200 for one in late)
-    if served < MIN_SERVED_SHARE * len(late) or not late:
+    served = sum(one.status == 200 for one in after_recovery)
+    if served < MIN_SERVED_SHARE * len(after_recovery) or not after_recovery:
         endings = collections.Counter(
-            f'{one.host} {one.ending.value} {one.status}' for one in late
+            f'{one.host} {one.ending.value} {one.status}'
+            for one in after_recovery
         )
         yield Violation(
             'after the last fault requests are served as before',
             start,
-            f'{served} of {len(late)}: {dict(endings)}',
+            f'{served} of {len(after_recovery)}: {dict(endings)}',
         )
 
 
--- a/testing/soak/plan.py
+++ b/testing/soak/plan.py
@@ -4,7 +4,7 @@
 import random
 
 EPISODES_PER_S = 0.6
-"""With repeats, some two faults start per second, so that they overlap."""
+"""With repeats, about two faults start per second, so that they overlap."""
 MAX_REPEATS = 3
 REPEAT_GAP_RANGE_S = (0.1, 1.5)
 DURATION_RANGE_S = (0.2, 3.0)
--- a/testing/standins/worker.py
+++ b/testing/standins/worker.py
@@ -238,7 +238,7 @@
     )
 
 
-def _foreign_response_first(worker: Worker, request: Request) -> bytes:
+def _other_response_first(worker: Worker, request: Request) -> bytes:
     other = dataclasses.replace(request, headers={'x-attempt-id': 'other'})
     return worker.render_response(other, b'wrong') + worker.render_response(
         request
@@ -286,7 +286,7 @@
     'failed': _respond_with(_error_response, True),
     'unframed': _respond_with(_response_without_length, False),
     'second': _respond_with(_extra_response, True),
-    'foreign-first': _respond_with(_foreign_response_first, True),
+    'foreign-first': _respond_with(_other_response_first, True),
 }
 
 
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -179,7 +179,7 @@
     assert all(tested.submit(ticket, 0.0).started for ticket in tickets)
 
 
-def test_refused_callers_come_back_at_the_drain_rate() -> None:
+def test_refused_callers_retry_at_the_drain_rate() -> None:
     """Guards against a synchronized return of refused callers.
 
     Six hundred callers are refused at once.  With the same retry time for all
@@ -203,7 +203,7 @@
         pytest.param(surge(5, 2.0), id='overload-5x-for-two-seconds'),
     ],
 )
-def test_callers_who_come_back_when_told_are_served_with_few_refusals(
+def test_callers_that_honour_retry_after_get_few_refusals(
     requests: list[gateload.Request],
 ) -> None:
     """Checks that the retry time given to refused callers pays off.
@@ -229,7 +229,7 @@
     assert refused(as_told) <= refused(every_50_ms) / 2
 
 
-def test_waiting_request_is_refused_once_it_cannot_make_it() -> None:
+def test_queued_request_is_refused_once_it_would_be_late() -> None:
     """A queued request is refused before its deadline if it can't meet it.
 
     The target becomes slow while the request is queued, which the end of the
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_gate_never_exceeds_its_slots_and_forgets_nobody(seed: int) -> None:
+def test_gate_never_exceeds_its_slots_and_tracks_requests(seed: int) -> None:
     """Arrivals, ends and withdrawals in random order are all accounted for."""
     randomness = random.Random(seed)
     tested = admission.Gate(3, 4, randomness)
--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -5,17 +5,19 @@
 from peridotpost.decisions import peerqueries
 
 
-def neighbours(
-    near: int, far: int, asked: int = 0
+def make_candidates(
+    same_zone: int, remote_zone: int, asked: int = 0
 ) -> list[peerqueries.PeerCandidate]:
     return [
-        peerqueries.PeerCandidate(f'h{number}', number >= near, number < asked)
-        for number in range(near + far)
+        peerqueries.PeerCandidate(
+            f'h{number}', number >= same_zone, number < asked
+        )
+        for number in range(same_zone + remote_zone)
     ]
 
 
 @pytest.mark.parametrize(
-    ('near', 'far', 'asked', 'wanted'),
+    ('same_zone', 'remote_zone', 'asked', 'wanted'),
     [
         pytest.param(
             11, 48, 0, peerqueries.MAX_SAME_ZONE_PEERS, id='a few of the zone'
@@ -31,14 +33,16 @@
     ],
 )
 def test_only_a_few_peers_of_the_own_zone_are_asked(
-    near: int, far: int, asked: int, wanted: int
+    same_zone: int, remote_zone: int, asked: int, wanted: int
 ) -> None:
-    chosen = peerqueries.peers_to_ask(neighbours(near, far, asked))
+    chosen = peerqueries.peers_to_ask(
+        make_candidates(same_zone, remote_zone, asked)
+    )
     assert len(chosen) == wanted
-    assert all(int(host[1:]) < max(near, 1) + asked for host in chosen)
+    assert all(int(host[1:]) < max(same_zone, 1) + asked for host in chosen)
 
 
-def test_an_outage_of_the_store_does_not_flood_slow_links() -> None:
+def test_store_outage_does_not_flood_slow_links() -> None:
     """A fleet of 60 loses the store, and all hosts ask for the member list.
 
     If they ask on every stream, each host receives the list 118 times.
@@ -46,7 +50,7 @@
     taken for silent.
     """
     list_bytes = 60 * 100
-    hosts = neighbours(11, 48)
+    hosts = make_candidates(11, 48)
     received = len(peerqueries.peers_to_ask(hosts)) * list_bytes
     slowest_link_bytes_per_s = 2_500_000 / 8
     assert received < 0.1 * slowest_link_bytes_per_s
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -274,11 +274,11 @@
 def _queue_revisions(
     arrived: 'asyncio.Queue[int]',
 ) -> Callable[[replicas.FactChange], None]:
-    def tell(change: replicas.FactChange) -> None:
+    def queue_revision(change: replicas.FactChange) -> None:
         if change.version is not None:
             arrived.put_nowait(change.version.revision)
 
-    return tell
+    return queue_revision
 
 
 async def _accept(store: Any, document: str, base: int) -> int:
--- a/testing/test_budget_and_split.py
+++ b/testing/test_budget_and_split.py
@@ -98,12 +98,12 @@
     assert admitted >= 0.6 * (RATIO * 100 + EXTRA / 20)
 
 
-def test_an_idle_target_admits_a_retry() -> None:
+def test_idle_target_admits_a_retry() -> None:
     (guard,) = guards(1)
     assert guard.admits(AGAIN, 13, 0.0)
 
 
-def test_a_partitioned_guard_keeps_its_part_of_the_limit() -> None:
+def test_partitioned_guard_keeps_its_part_of_the_limit() -> None:
     (guard,) = guards(1)
     assert guard.admits(AGAIN, 20, 0.0)
     admitted = 0
--- a/testing/test_choice.py
+++ b/testing/test_choice.py
@@ -55,7 +55,7 @@
     good = balanced.share(routeload.GOOD)
     assert good >= least_good
     assert good >= baseline.share(routeload.GOOD)
-    assert balanced.share_of(0) <= most_to_first
+    assert balanced.call_share(0) <= most_to_first
 
 
 def test_load_report_covers_calls_of_other_daemons() -> None:
@@ -113,7 +113,7 @@
         routeload.FakeTarget(routeload.endpoint(n, 'b')) for n in (2, 3)
     ]
     run = routeload.drive(targets, routeload.Ingress, load=load)
-    assert least_local <= run.share_of(0) + run.share_of(1) <= most_local
+    assert least_local <= run.call_share(0) + run.call_share(1) <= most_local
     assert run.share(routeload.GOOD) >= 0.98
 
 
--- a/testing/test_deltas.py
+++ b/testing/test_deltas.py
@@ -45,7 +45,7 @@
         deltas.apply(b'{"z":1},{"b":2}', delta)
 
 
-def test_a_thousand_new_routes_do_not_fill_a_slow_link() -> None:
+def test_thousand_new_routes_do_not_fill_a_slow_link() -> None:
     """Guards against timeouts on all hosts while operators add many routes.
 
     Deltas were sent uncompressed: 190 KB take 0.4 s on a link of 3.5 Mbit/s,
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -74,7 +74,7 @@
     service = failing_fast()
     service[0].recovers_at = 1.0
     run = routeload.drive(service, routeload.Ingress, seconds=12.0)
-    assert run.latest['h0'] / run.latest.total() >= 0.2
+    assert run.second_half_calls['h0'] / run.second_half_calls.total() >= 0.2
 
 
 SERVICE = [
--- a/testing/test_experiment.py
+++ b/testing/test_experiment.py
@@ -190,7 +190,10 @@
     )
     assert result.exit_code == 0, result.output
     printed = json.loads(result.output)
-    assert [row['policy'] for row in printed] == ['as-built', 'own-zone-only']
+    assert [row['policy'] for row in printed] == [
+        'as-built',
+        'own-zone-only',
+    ]
     assert plot_file.stat().st_size
     unknown = click_testing.CliRunner().invoke(
         experiment.main, ['run', str(path), '--policy', 'none']
@@ -209,7 +212,7 @@
     targets: cross-zone traffic rises and callers are served no better.  If
     none crosses, the worst zone earns less.
     """
-    built = play(double_load, seed)
+    as_built = play(double_load, seed)
     crossing_freely = play(
         double_load,
         seed,
@@ -218,12 +221,13 @@
     )
     # Retries after a refusal do not depend on these constants.
     assert (
-        built.far_first_kilobytes < 0.25 * crossing_freely.far_first_kilobytes
+        as_built.far_first_kilobytes
+        < 0.25 * crossing_freely.far_first_kilobytes
     )
-    assert built.far_kilobytes < 0.5 * crossing_freely.far_kilobytes
-    assert built.credit_share > crossing_freely.credit_share - 0.01
+    assert as_built.far_kilobytes < 0.5 * crossing_freely.far_kilobytes
+    assert as_built.credit_share > crossing_freely.credit_share - 0.01
     own_zone_only = play(double_load, seed, selection__WORTH_CROSSING=0.0)
-    worst = min(built.credit_by_zone.values())
+    worst = min(as_built.credit_by_zone.values())
     assert worst > min(own_zone_only.credit_by_zone.values()) + 0.01
 
 
@@ -233,13 +237,13 @@
 ) -> None:
     """In a surge, first choices refuse and requests are retried elsewhere.
 
-    If almost full targets of other zones are candidates, they refuse as
+    If almost full targets of remote zones are candidates, they refuse as
     well: cross-zone traffic rises and callers are served no better.
     """
-    built = play(double_load, seed)
+    as_built = play(double_load, seed)
     crossing_freely = play(double_load, seed, selection__FULL=1.2)
-    assert built.far_kilobytes < 0.9 * crossing_freely.far_kilobytes
-    assert built.credit_share > crossing_freely.credit_share - 0.01
+    assert as_built.far_kilobytes < 0.9 * crossing_freely.far_kilobytes
+    assert as_built.credit_share > crossing_freely.credit_share - 0.01
 
 
 def test_late_requests_do_not_delay_urgent_ones(
@@ -330,7 +334,7 @@
 
 
 @pytest.mark.parametrize(
-    ('changes', 'share', 'binds'),
+    ('changes', 'share', 'limiting_services'),
     [
         pytest.param({'per_s': 200}, 1.0, [], id='enough slots'),
         pytest.param({}, 0.5, ['s'], id='twice the slots'),
@@ -338,11 +342,11 @@
     ],
 )
 def test_bound_is_slot_capacity(
-    changes: dict[str, object], share: float, binds: list[str]
+    changes: dict[str, object], share: float, limiting_services: list[str]
 ) -> None:
     (interval,) = bound.intervals(overloaded(**changes))
     assert interval.share == pytest.approx(share)
-    assert list(interval.worth_of_slot) == binds
+    assert list(interval.worth_of_slot) == limiting_services
 
 
 def test_bound_includes_slots_of_called_services() -> None:
@@ -405,10 +409,10 @@
     two, and runs hold their slots while they wait for calls.
     """
     scarce = scenarios.load(SCARCE_CALLEE)
-    built = play(scarce, seed)
+    as_built = play(scarce, seed)
     own_wait_only = play(scarce, seed, targetstate__WAIT_WEIGHT=1.0)
-    late = sum(route.late for route in built.routes.values())
+    late = sum(route.late for route in as_built.routes.values())
     assert late < 0.95 * sum(
         route.late for route in own_wait_only.routes.values()
     )
-    assert built.credit_share > own_wait_only.credit_share
+    assert as_built.credit_share > own_wait_only.credit_share
--- a/testing/test_fairness.py
+++ b/testing/test_fairness.py
@@ -39,7 +39,7 @@
         ),
     ],
 )
-def test_others_are_served_beside_a_hot_flow(
+def test_hot_flow_does_not_starve_others(
     hot: list[dict[str, str]], others: list[dict[str, str]], least: float
 ) -> None:
     """Guards against a hot flow that starves the others.
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -2,7 +2,7 @@
 
 from peridotpost.decisions import following
 
-BEAT_S = following.HEARTBEAT_S
+HEARTBEAT_S = following.HEARTBEAT_S
 
 
 def slow(now: float = 0.0) -> following.StoreReadPolicy:
@@ -13,34 +13,40 @@
     one: following.StoreReadPolicy, start: float, end: float
 ) -> list[float]:
     """Return when `one` reads, checked each heartbeat in the interval."""
-    beats = int((end - start) / BEAT_S) + 1
-    asked = [start + beat * BEAT_S for beat in range(beats)]
+    heartbeats = int((end - start) / HEARTBEAT_S) + 1
+    asked = [
+        start + heartbeat * HEARTBEAT_S for heartbeat in range(heartbeats)
+    ]
     return [now for now in asked if one.should_read(now)]
 
 
 def test_slow_link_reads_only_without_followers() -> None:
     one = slow()
-    assert not reads(one, 0.0, following.FOLLOWER_TIMEOUT_S - BEAT_S)
+    assert not reads(one, 0.0, following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S)
     first, second, *_ = reads(one, following.FOLLOWER_TIMEOUT_S, 10.0)
     assert second - first >= following.MIN_READ_INTERVAL_S
     one.heard('fast', 20.0)
-    assert not reads(one, 20.0, 20.0 + following.FOLLOWER_TIMEOUT_S - BEAT_S)
+    assert not reads(
+        one, 20.0, 20.0 + following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S
+    )
 
 
 def test_after_an_outage_slow_links_wait_for_followers() -> None:
     """The store comes back after eight seconds, in which nobody followed it.
 
     If all hosts with slow links then read 400 KB at once, their links are
-    full for a second: pings go unanswered, and the work on them is given
-    up.  Followers announce themselves within one heartbeat.
+    full for a second: pings go unanswered, and the work on them is
+    abandoned.  Followers announce themselves within one heartbeat.
     """
     one = slow()
     one.note_store_state(False, 1.0)
     assert not reads(one, 1.0, 9.0)
     one.note_store_state(True, 9.0)
-    assert not reads(one, 9.0, 9.0 + BEAT_S)
-    one.heard('fast', 9.0 + BEAT_S)
-    assert not reads(one, 9.0 + BEAT_S, 9.0 + following.FOLLOWER_TIMEOUT_S)
+    assert not reads(one, 9.0, 9.0 + HEARTBEAT_S)
+    one.heard('fast', 9.0 + HEARTBEAT_S)
+    assert not reads(
+        one, 9.0 + HEARTBEAT_S, 9.0 + following.FOLLOWER_TIMEOUT_S
+    )
 
 
 def test_zone_without_followers_reads_for_itself() -> None:
@@ -48,7 +54,7 @@
     one.note_store_state(False, 1.0)
     one.note_store_state(True, 9.0)
     read_at, *_ = reads(one, 9.0, 15.0)
-    assert read_at - 9.0 <= following.FOLLOWER_TIMEOUT_S + BEAT_S
+    assert read_at - 9.0 <= following.FOLLOWER_TIMEOUT_S + HEARTBEAT_S
 
 
 def test_first_store_answer_delays_no_read() -> None:
@@ -65,7 +71,7 @@
 
 
 def test_slow_links_are_current_when_the_fast_ones_lose_the_store() -> None:
-    """Callers are served by a version that was replaced three seconds ago.
+    """Guards against callers served by a version replaced three seconds ago.
 
     The store goes silent for all fast hosts of a zone, but still answers
     the slow ones.  The fast ones claim to follow it until they notice, and
@@ -96,7 +102,7 @@
         one.lost('fast')
     read_at = []
     for step in range(5 * 20):
-        now = 10.0 + step * BEAT_S / len(hosts)
+        now = 10.0 + step * HEARTBEAT_S / len(hosts)
         looking = hosts[step % len(hosts)]
         if looking.should_read(now):
             read_at.append(now)
@@ -106,7 +112,7 @@
     assert len(read_at) <= 5
     pauses = [b - a for a, b in zip([10.0, *read_at], read_at, strict=False)]
     # The reads are still frequent enough for new versions.
-    assert max(pauses) <= following.PEER_READ_WAIT_S + BEAT_S / len(hosts)
+    assert max(pauses) <= following.PEER_READ_WAIT_S + HEARTBEAT_S / len(hosts)
 
 
 def test_follower_that_loses_the_store_is_replaced_by_another() -> None:
@@ -114,13 +120,17 @@
     one.heard('first', 5.0)
     one.heard('second', 5.0)
     one.lost('first')
-    assert not reads(one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - BEAT_S)
+    assert not reads(
+        one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S
+    )
     one.lost('second')
-    assert one.should_read(5.0 + BEAT_S)
+    assert one.should_read(5.0 + HEARTBEAT_S)
 
 
 def test_loss_on_a_host_that_never_followed_is_ignored() -> None:
     one = slow()
     one.heard('fast', 5.0)
     one.lost('slow')
-    assert not reads(one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - BEAT_S)
+    assert not reads(
+        one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S
+    )
--- a/testing/test_membership_faults.py
+++ b/testing/test_membership_faults.py
@@ -102,7 +102,7 @@
     assert targets.myself.record.targets[0].state is READY
 
 
-def test_of_two_targets_with_one_name_the_later_one_holds_it(
+def test_shared_name_belongs_to_the_later_target(
     targets: local.LocalTargets,
 ) -> None:
     # Two targets of a host are started with the same name by mistake.  If
@@ -272,7 +272,7 @@
 
 @pytest.mark.processes
 @pytest.mark.parametrize('leaving', ['target', 'daemon'])
-def test_leaving_one_gets_no_new_work_and_finishes_its_own(
+def test_stopping_process_gets_no_new_work_and_ends_its_own(
     leaving: str, running_mesh: StartMesh, zone_text: str
 ) -> None:
     # A target or its daemon is asked to stop while it runs a long request
@@ -288,7 +288,7 @@
     assert leaving_host.service == service
     others = one.plan.hosts[:3]
     port = target_port(one, f'target-{leaving_host.host}')
-    near = target_port(one, f'target-{ingress.host}')
+    ingress_target_port = target_port(one, f'target-{ingress.host}')
     call = functools.partial(processes.call, ingress, service, path='/long')
     long = {'Standin-Work-Ms': str(LONG_MS)}
     with concurrent.futures.ThreadPoolExecutor(LONG_CALLS) as pool:
@@ -297,7 +297,7 @@
             lambda: (
                 target_counts(port)['running']
                 and target_counts(port)['running']
-                + target_counts(near)['running']
+                + target_counts(ingress_target_port)['running']
                 == LONG_CALLS
             ),
             'both targets run long requests',
@@ -335,15 +335,15 @@
     one.wait_ready()
     one.wait_in_force(one.accept_config(text))
     one.wait_targets(2)
-    elsewhere, ingress = one.plan.hosts
-    port = target_port(one, f'target-{elsewhere.host}')
+    other_host, ingress = one.plan.hosts
+    port = target_port(one, f'target-{other_host.host}')
     long = {'Standin-Work-Ms': str(LONG_MS)}
     with concurrent.futures.ThreadPoolExecutor(LONG_CALLS) as pool:
         pending = [
             pool.submit(
                 processes.call,
                 ingress,
-                elsewhere.service,
+                other_host.service,
                 path=f'/{number}',
                 headers=long,
             )
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -191,11 +191,11 @@
 async def test_zone_without_fast_links_fetches_from_a_remote_zone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After a power loss a zone refuses requests for two seconds.
+    """Guards against a zone that refuses requests for 2 s after a power loss.
 
     The zone has no hosts with fast links any more.  The others wait for a
     host that follows the store and then read it over their slow links, while
-    other zones already have the configuration.
+    remote zones already have the configuration.
     """
     monkeypatch.setattr(
         'peridotpost.decisions.following.FOLLOWER_TIMEOUT_S', 3600.0
@@ -268,11 +268,12 @@
 async def test_watch_lost_in_an_outage_is_resent_after_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The store goes silent; the watches sent meanwhile are never received.
+    """Guards against waiting for a watch that the store never received.
 
-    After the store is back, operators write a version.  Each daemon waits for
-    its lost watch until the timeout, seconds after other calls showed that
-    the store is back, and callers get 404 for the new route meanwhile.
+    The store goes silent, and a version is written after it is back.  Each
+    daemon waited for its lost watch until the timeout, seconds after other
+    calls showed that the store is back, and callers got 404 for the new
+    route meanwhile.
     """
     monkeypatch.setattr(store, 'WATCH_WAIT_MS', 60_000)
     monkeypatch.setattr(store, 'CALL_TIMEOUT_S', 0.1)
@@ -294,12 +295,12 @@
 async def test_configuration_is_read_after_a_failed_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The store compacts its history and no longer answers watches.
+    """Guards against repeating a watch that the store no longer answers.
 
-    A version is written meanwhile.  A daemon whose watch timed out sent the
-    next one from the same revision, which was not answered either.  Callers
-    of a whole zone got 404 for the new route until a ping of another zone
-    announced it, 4.3 s after the write.
+    The store compacts its history, and a version is written.  A daemon whose
+    watch timed out sent the next one from the same revision, which was not
+    answered either.  Callers of a whole zone got 404 for the new route until
+    a ping of a remote zone announced it, 4.3 s after the write.
     """
     monkeypatch.setattr(store, 'WATCH_WAIT_MS', 100)
     async with proxies.pair() as (mesh, first, second):
--- a/testing/test_retry.py
+++ b/testing/test_retry.py
@@ -130,7 +130,7 @@
         assert target.counts['ran'] == 20
 
 
-async def test_unknown_then_refused_is_told_as_unknown() -> None:
+async def test_unknown_then_refused_is_reported_as_unknown() -> None:
     """Guards against "not run" for a call that may have run.
 
     The first target dies during a read and the second is leaving.  The
@@ -185,8 +185,8 @@
     def __init__(self, shedding_level: int) -> None:
         self.shedding_level = shedding_level
         self.ports: list[int] = []
-        self.budgets: list[int] = []
-        self.seen: list[int] = []
+        self.timeouts_ms: list[int] = []
+        self.levels: list[int] = []
 
     async def serve(
         self,
@@ -202,15 +202,15 @@
                 if ': ' in line
             )
             level = int(headers['host'].removeprefix('s'))
-            self.seen.append(level)
-            self.budgets.append(int(headers['peridot-timeout-ms']))
+            self.levels.append(level)
+            self.timeouts_ms.append(int(headers['peridot-timeout-ms']))
             if level == self.shedding_level:
                 writer.write(
                     b'HTTP/1.1 503 Full\r\nRetry-After: 1\r\n'
                     b'Content-Length: 0\r\n\r\n'
                 )
                 continue
-            port = self.ports[len(self.seen) % len(self.ports)]
+            port = self.ports[len(self.levels) % len(self.ports)]
             async with callpath.caller(port) as client:
                 reply = await client.ask(
                     f's{level + 1}',
@@ -253,9 +253,9 @@
 async def test_deadline_is_carried_down_ten_levels_and_no_further() -> None:
     chain = Chain(shedding_level=-1)
     reply = await run_chain(chain, 1)
-    assert chain.seen == list(range(10))
-    assert chain.budgets == sorted(chain.budgets, reverse=True)
-    assert chain.budgets[0] <= 10_000
+    assert chain.levels == list(range(10))
+    assert chain.timeouts_ms == sorted(chain.timeouts_ms, reverse=True)
+    assert chain.timeouts_ms[0] <= 10_000
     assert (reply.status, reply.outcome) == (403, 'not-run')
     assert b'calls deep' in reply.body
 
@@ -271,4 +271,4 @@
     reply = await run_chain(chain, 2)
     assert reply.status == 503
     assert reply.header('Peridot-Retried') == 'yes'
-    assert [chain.seen.count(level) for level in range(5)] == [1, 1, 1, 1, 2]
+    assert [chain.levels.count(level) for level in range(5)] == [1, 1, 1, 1, 2]
--- a/testing/test_seeds.py
+++ b/testing/test_seeds.py
@@ -221,6 +221,6 @@
 
 
 def test_records_are_read_often_at_first_and_seldom_later() -> None:
-    looks = [rules.should_read_all(count) for count in range(126)]
-    assert all(looks[: rules.INITIAL_READS])
-    assert sum(looks[rules.INITIAL_READS :]) == 120 // rules.RENEWALS_PER_READ
+    reads = [rules.should_read_all(count) for count in range(126)]
+    assert all(reads[: rules.INITIAL_READS])
+    assert sum(reads[rules.INITIAL_READS :]) == 120 // rules.RENEWALS_PER_READ
--- a/testing/test_selection.py
+++ b/testing/test_selection.py
@@ -84,7 +84,7 @@
 def test_queued_zone_uses_free_slots_of_remote_zones(
     remote_load: float, crosses: bool, randomness: random.Random
 ) -> None:
-    """Guards against refusals while another zone has free slots.
+    """Guards against refusals while a remote zone has free slots.
 
     One zone has three targets of a service, another one two of nine.  When
     requests left their zone only if they would take more than 90% of the
@@ -189,7 +189,7 @@
 
     A service answers one route in a fifth of another's time.  Judged by the
     mean of both, the short one always exceeded its short objective and was
-    sent to another zone.
+    sent to a remote zone.
     """
     local, remote = target('a', run_s=0.12), target('b', 'remote', run_s=0.06)
     local.report_run('r', 0.03)
--- a/testing/test_slots_mixed.py
+++ b/testing/test_slots_mixed.py
@@ -13,7 +13,7 @@
 from testing import orders
 
 SECONDS = 20.0
-SPREAD = 0.5
+LOG_TIME_SIGMA = 0.5
 """Standard deviation of the logarithm of run times."""
 
 
@@ -154,7 +154,9 @@
     def _start(self, started: list[forwarding.Order], now: float) -> None:
         for order in started:
             mean_s = self.streams[order.route].run_s
-            factor = self.randomness.lognormvariate(-(SPREAD**2) / 2, SPREAD)
+            factor = self.randomness.lognormvariate(
+                -(LOG_TIME_SIGMA**2) / 2, LOG_TIME_SIGMA
+            )
             heapq.heappush(
                 self.ends, (now + mean_s * factor, order.number, order)
             )
@@ -253,7 +255,9 @@
     [
         pytest.param(slotshare.Precedence(0, False), 0.0, id='nothing ahead'),
         pytest.param(
-            slotshare.Precedence(1, False, -3), 0.0, id='not its own'
+            slotshare.Precedence(1, False, -3),
+            0.0,
+            id='its own share excluded',
         ),
         pytest.param(
             slotshare.Precedence(1, False, -1), 0.125, id='shorter objective'
--- a/testing/test_soak.py
+++ b/testing/test_soak.py
@@ -252,7 +252,7 @@
 @pytest.mark.parametrize(
     ('seed', 'seconds', 'fleet_faults'),
     [
-        pytest.param(1, 6.0, False, id='any'),
+        pytest.param(1, 6.0, False, id='faults on single hosts'),
         pytest.param(4, 8.0, True, id='many hosts at once'),
         # The store hung; watches sent meanwhile were lost, so that new
         # versions were in force seconds late on all hosts.
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -72,7 +72,7 @@
         return bool(answers) and answers.pop(0)
 
     link.ping = ping
-    conversing = asyncio.ensure_future(
+    link_task = asyncio.ensure_future(
         streams.run_link(link, never_read, discarding_write, asyncio.Event())
     )
     await asyncio.sleep(0)
@@ -84,7 +84,7 @@
         await link.beat()
         assert not link.over.is_set()
     await link.beat()
-    await conversing
+    await link_task
     assert node.counts.totals['link.silent'] == 1
 
 
@@ -187,17 +187,17 @@
         try:
             await asyncio.Event().wait()
         finally:
-            conversing.cancel()
+            link_task.cancel()
         raise AssertionError
 
-    conversing = asyncio.ensure_future(
+    link_task = asyncio.ensure_future(
         streams.run_link(link, slow_to_end, discarding_write, asyncio.Event())
     )
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     link.over.set()
     with pytest.raises(asyncio.CancelledError):
-        await conversing
+        await link_task
 
 
 async def test_uplink_leaves_full_parent_for_next_candidate() -> None:
@@ -371,7 +371,7 @@
         return result.Ok(store.KeyValue(key, b'damaged', 4))
 
 
-async def test_valid_version_after_a_damaged_head_comes_by_the_watch(
+async def test_valid_version_after_a_damaged_head_is_received(
     mesh_text: str,
 ) -> None:
     # Another client has overwritten the head, and an operator repairs it.
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -23,7 +23,7 @@
 
 PERIOD_S = 1.0
 SUSPICION_S = 4.0
-ZONE = 473
+ZONE_SIZE = 473
 ALIVE, SUSPECT, DEAD = (
     members.Status.ALIVE,
     members.Status.SUSPECT,
@@ -128,8 +128,8 @@
     def probe_through(
         self, source: str, to: str, live: Collection[str]
     ) -> observers.ProbeResult:
-        near = set(live) - {source}
-        helpers = self.observers[source].probe_round.helpers(to, near)
+        others = set(live) - {source}
+        helpers = self.observers[source].probe_round.helpers(to, others)
         heard, answered = 0, False
         for helper in helpers:
             if helper in self.down or not self.passes(source, helper):
@@ -160,7 +160,7 @@
 ) -> None:
     # A rack of 40 fails at once, or one daemon hangs: it receives datagrams
     # and answers none.  Calls are sent there until it is declared dead.
-    zone = Zone(ZONE, loss, seed=11)
+    zone = Zone(ZONE_SIZE, loss, seed=11)
     zone.run(3)
     failed = set(list(zone.records)[100 : 100 + lost])
     zone.down = failed
@@ -172,7 +172,7 @@
 def test_no_live_member_is_declared_dead_on_a_lossy_network(seed: int) -> None:
     # Every twentieth datagram is lost.  That causes suspicions all the
     # time, but a death would remove a live target from every table.
-    zone = Zone(ZONE, 0.05, seed)
+    zone = Zone(ZONE_SIZE, 0.05, seed)
     zone.run(40)
     assert zone.dead_after == {}
     assert len(zone.suspected) < 40
@@ -295,12 +295,12 @@
 def test_observer_notices_its_own_pause(
     gaps: list[float], paused: bool
 ) -> None:
-    guard, now, seen = suspicion.PauseDetector(PERIOD_S, 0.0), 0.0, []
+    detector, now, seen = suspicion.PauseDetector(PERIOD_S, 0.0), 0.0, []
     for gap in gaps:
         now += gap
-        seen.append(guard.paused(now))
+        seen.append(detector.paused(now))
     assert seen == [False] * (len(gaps) - 1) + [paused]
-    assert guard.paused(now + 1.0) is False
+    assert detector.paused(now + 1.0) is False
 
 
 def test_each_member_is_probed_once_a_round(randomness: random.Random) -> None:
@@ -486,7 +486,7 @@
     # A daemon starts on the address of a dead one, or an answer arrives
     # late.  If it counted as the subject's, a dead target would stay in use.
     with open_prober(randomness) as (prober, fleet, sent, counts):
-        probing_it = asyncio.ensure_future(
+        pending_ping = asyncio.ensure_future(
             prober.pings.ping(fleet.records['subject'])
         )
         await asyncio.sleep(0)
@@ -504,7 +504,7 @@
         )
         assert counts.totals[count] == 1
         assert fleet.offered == []
-        assert await probing_it is False
+        assert await pending_ping is False
 
 
 async def test_datagrams_of_any_bytes_are_counted(
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -97,7 +97,7 @@
             502,
             'unknown',
             None,
-            id='end-cannot-be-told',
+            id='no-length',
         ),
         pytest.param(
             sends_bytes(
--- a/testing/test_urgency.py
+++ b/testing/test_urgency.py
@@ -6,13 +6,11 @@
 from testing import proxies
 
 
-async def test_urgency_counts_where_callers_share_the_targets_address() -> (
-    None
-):
-    """A full target serves requests by arrival, regardless of their rank.
+async def test_rank_applies_to_callers_at_the_targets_address() -> None:
+    """Guards against serving requests by arrival, regardless of their rank.
 
     Callers and the host's target send from the same address, so each request
-    is taken for a call of the target and gets the rank of such calls.
+    was taken for a call of the target and got the rank of such calls.
     """
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config())
