--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -208,12 +208,12 @@
 ) -> None:
     """Checks that the retry time given to refused callers pays off.
 
-    Refused callers make up to ten attempts.  At the time they were told, all
-    are served after about one refusal each.  With a retry every 50 ms they
+    Refused callers make up to ten attempts.  If they wait as long as told in
+    the refusal, all are served after about one refusal each.  With a retry every 50 ms they
     are refused many times, and many give up unserved.
     """
     tested = gate()
-    as_told = gateload.drive(
+    after_retry_time = gateload.drive(
         tested, requests, lambda now: tested.retry_after_ms(now) / 1000
     )
     every_50_ms = gateload.drive(gate(), requests, lambda now: 0.05)
@@ -224,9 +224,9 @@
     def refused(received: list[gateload.Received]) -> int:
         return sum(one.outcome == gateload.REFUSED for one in received)
 
-    assert served(as_told) >= 0.99 * len(requests)
-    assert served(as_told) >= served(every_50_ms)
-    assert refused(as_told) <= refused(every_50_ms) / 2
+    assert served(after_retry_time) >= 0.99 * len(requests)
+    assert served(after_retry_time) >= served(every_50_ms)
+    assert refused(after_retry_time) <= refused(every_50_ms) / 2
 
 
 def test_queued_request_is_refused_once_it_would_be_late() -> None:
--- a/testing/test_choice.py
+++ b/testing/test_choice.py
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     ('make', 'least_good', 'most_to_first'),
     [
-        pytest.param(healthy, 1.0, 0.3, id='all-well'),
+        pytest.param(healthy, 1.0, 0.3, id='all-healthy'),
         # It has a tenth of the others' capacity and gets little more calls.
         pytest.param(slow, 0.99, 0.06, id='slow-target'),
         pytest.param(cold, 0.99, 0.12, id='cold-target'),
--- a/testing/test_ejection.py
+++ b/testing/test_ejection.py
@@ -89,7 +89,7 @@
     [
         pytest.param([GOOD] * 100, False, id='good'),
         pytest.param([LOST] * 3, True, id='lost-in-a-row'),
-        pytest.param([LOST, LOST, GOOD] * 2, False, id='lost-and-found'),
+        pytest.param([LOST, LOST, GOOD] * 2, False, id='lost-then-good'),
         pytest.param([FAILED] * 3, False, id='few-errors'),
         pytest.param([FAILED] * 6, True, id='errors'),
         pytest.param([FAILED, GOOD, GOOD, GOOD] * 50, False, id='some-errors'),
--- a/testing/test_fairness.py
+++ b/testing/test_fairness.py
@@ -9,12 +9,12 @@
 from testing import gateload
 
 SLOTS = 12
-CAPACITY = 600.0
+CAPACITY_PER_S = 600.0
 
 
 def flow(factor: float, seed: int, **of: object) -> list[gateload.Request]:
     return gateload.poisson(
-        factor * CAPACITY, 4, seed, work_s=0.02, deadline_s=1.0, **of
+        factor * CAPACITY_PER_S, 4, seed, work_s=0.02, deadline_s=1.0, **of
     )
 
 
--- a/testing/test_http1_split.py
+++ b/testing/test_http1_split.py
@@ -91,7 +91,7 @@
     assert compared_fields(parse(raw, sizes, answers)) == whole
 
 
-def test_headers_of_the_connection_and_of_our_own_are_not_passed_on() -> None:
+def test_hop_by_hop_and_internal_headers_are_not_forwarded() -> None:
     heads = [bytes(one.head).lower() for one in parse(REQUESTS, [], False)]
     for name in (b'x-caller-service', b'x-hop', b'connection', b'content-le'):
         assert not any(name in head for head in heads)
--- a/testing/test_ledgers.py
+++ b/testing/test_ledgers.py
@@ -84,9 +84,9 @@
 def handover(randomness: random.Random) -> ledger_handover.LedgerHandover:
     counts = counters.Counters()
     clock = timers.TimerService(randomness)
-    events = timeline.Timeline('heir', clock.wall)
+    events = timeline.Timeline('successor', clock.wall)
     replica = replicas.Replica(
-        'heir', config.Interest(), clock, events, counts
+        'successor', config.Interest(), clock, events, counts
     )
     return ledger_handover.LedgerHandover(
         replica, peers.PeerStreams(counts), counts
@@ -104,9 +104,9 @@
     return idempotency.HandoverLedger(host, frozenset({1}), 10, 99, entries)
 
 
-def key_of(host: str, stamp_ms: int) -> idempotency.Key:
+def key_of(host: str, timestamp_ms: int) -> idempotency.Key:
     return idempotency.generate_key(
-        stamp_ms, random.Random(stamp_ms), 'z', host
+        timestamp_ms, random.Random(timestamp_ms), 'z', host
     )
 
 
@@ -130,13 +130,13 @@
 
 
 @pytest.mark.parametrize(
-    'stamp_ms', [10, 100], ids=['before-its-record', 'after-it-stopped']
+    'timestamp_ms', [10, 100], ids=['before-its-record', 'after-it-stopped']
 )
 def test_successor_proves_nothing_outside_the_ledgers_period(
-    handover: ledger_handover.LedgerHandover, stamp_ms: int
+    handover: ledger_handover.LedgerHandover, timestamp_ms: int
 ) -> None:
     handover.store(handover_of('h', 1, 1), 100)
-    outcome = handover.look_up(key_of('h', stamp_ms), 'h', None)
+    outcome = handover.look_up(key_of('h', timestamp_ms), 'h', None)
     assert isinstance(outcome, calls.OutcomeUnknown)
 
 
--- a/testing/test_ownership_machine.py
+++ b/testing/test_ownership_machine.py
@@ -40,7 +40,7 @@
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """Runs random steps on a :class:`once_world.World`, which checks them."""
+    """Runs random steps on an ``ownership_model.World``, which checks them."""
 
     world_type: type[ownership_model.World] = ownership_model.World
 
@@ -118,7 +118,7 @@
         self.world.time_out(host)
 
     @stateful.rule(host=st.sampled_from(HOSTS))
-    def pause_or_thaw(self, host: str) -> None:
+    def pause_or_resume(self, host: str) -> None:
         daemon = self.world.daemons[host]
         daemon.paused = not daemon.paused
 
@@ -200,7 +200,7 @@
     )
 
 
-def run_again(*judged: object) -> idempotency.Dispatch:
+def run_again(*arguments: object) -> idempotency.Dispatch:
     return idempotency.Dispatch.RUN
 
 
@@ -211,7 +211,7 @@
             ownership.Process,
             'predecessors_end_ms',
             lambda process, bound: -1,
-            id='next-process-takes-older-stamps',
+            id='next-process-runs-older-keys',
         ),
         pytest.param(
             ownership,
@@ -220,7 +220,10 @@
             id='owners-change-below-the-horizon',
         ),
         pytest.param(
-            idempotency, 'decide_dispatch', run_again, id='guard-forgets'
+            idempotency,
+            'decide_dispatch',
+            run_again,
+            id='guard-keeps-no-record',
         ),
     ],
 )
--- a/testing/test_pacing.py
+++ b/testing/test_pacing.py
@@ -101,7 +101,7 @@
 def test_parent_that_drops_streams_is_not_dialled_in_a_loop(
     randomness: random.Random,
 ) -> None:
-    # A parent answers the greeting and fails right after.  A child that
+    # A parent answers the hello and fails right after.  A child that
     # treated the answer as success would dial it twenty times a second.
     assert dials_in(pacing.ParentSelector(randomness), 0.001) < 60
 
--- a/testing/test_slots_mixed.py
+++ b/testing/test_slots_mixed.py
@@ -294,9 +294,9 @@
     """Guards against late answers although no request waits long.
 
     At 1.5 times the load of a target, nearly half of the answers are late if
-    retries get a full objective again.  They retry at the time they were told
-    and are answered when their callers count them as late, in slots in which
-    new requests would be in time.
+    retries get a full objective again.  They arrive after the delay given in
+    the refusal and are answered late for their callers, in slots in which new
+    requests would be in time.
     """
     lookups = Stream('lookup', 2, 120, 0.15, 0.4, 0.8)
     recognized = Simulation(
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -67,7 +67,7 @@
 def test_one_departure_of_5200_moves_few_children(position: int) -> None:
     # One host fails.  If the children were redistributed, all daemons of
     # its zone would dial another parent, at each of the day's 482 losses
-    # and replacements.  Other zones must not change at all.
+    # and replacements.  Remote zones must not change at all.
     zone, size = ZONES[0], FLEET // len(ZONES) + 1
     hosts = hosts_of(zone, size)
     order = tree.ranked(zone, hosts)
@@ -120,7 +120,7 @@
 
 
 def test_any_one_frozen_relay_leaves_every_pair_of_zones_linked() -> None:
-    # A relay freezes.  If both relays of another zone are connected to it,
+    # A relay freezes.  If both relays of a remote zone are connected to it,
     # no update passes between the two zones until it is declared dead, and
     # calls still go to targets that have left.
     every_pair = len(ZONES) * (len(ZONES) - 1) // 2
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -131,7 +131,7 @@
 def test_scope_grown_while_an_update_is_in_flight_is_filled() -> None:
     # A target of another service starts on a host while a new version is in
     # flight to it.  The version is cut for the old scope and crosses the
-    # greeting with the new one.  The daemon must end up with the services
+    # hello with the new one.  The daemon must end up with the services
     # of its new target, at the same revision.
     parent = distribution_harness.Node('parent')
     child = distribution_harness.Node('child', A)
@@ -253,8 +253,8 @@
     changed: int, bound: int
 ) -> None:
     # Many children move to new parents, each knowing the whole fleet.
-    # Greetings that list every member take 114 KB each way, and a parent's
-    # budget is 7 KB/s.
+    # Hello messages that list every member take 114 KB each way, and a
+    # parent's budget is 7 KB/s.
     records = distribution_harness.make_members(5200)
     parent = distribution_harness.Node('parent')
     child = distribution_harness.Node('child')
