--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -208,9 +208,9 @@
 ) -> None:
     """Checks that the retry time given to refused callers pays off.
 
-    Refused callers make up to ten attempts.  If they wait as long as told in
-    the refusal, all are served after about one refusal each.  With a retry every 50 ms they
-    are refused many times, and many give up unserved.
+    Refused callers make up to ten attempts.  If they wait as long as the
+    refusal says, all are served after about one refusal each.  With a retry
+    every 50 ms they are refused many times, and many give up unserved.
     """
     tested = gate()
     after_retry_time = gateload.drive(
