--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -107,7 +107,7 @@
     reconciler = reconcile.Reconciler(
         replica, replica.counts, 'zone-00', random.Random(1)
     )
-    sums = list(replica.fleet.sums)
+    sums = list(replica.fleet.bucket_sums)
     bucket = frozenset({0})
     marks = wire.bucket_marks_to_wire(bucket, replica.fleet.marks(bucket))
     link = links.Link('child', node.table, node.counts)
@@ -165,7 +165,7 @@
         revision=replica.version.revision,
         config_digest=replica.digest,
         interest=wire.interest_to_wire(replica.interest),
-        member_sums=replica.fleet.sums,
+        member_sums=replica.fleet.bucket_sums,
     )
 
 
--- a/bench/unseen_fleets.py
+++ b/bench/unseen_fleets.py
@@ -26,7 +26,7 @@
     'as built': {},
     'no margin': {'slots.MARGIN': 0.0},
     'none late': {'slots.LATE_SHARE': 0.0},
-    'full from 1': {'selection.FULL': 1.0},
+    'full from 1': {'selection.FULL_LOAD': 1.0},
 }
 
 
--- a/src/peridotpost/decisions/attempts.py
+++ b/src/peridotpost/decisions/attempts.py
@@ -66,7 +66,7 @@
     runs: int = 0
     lost: str = ''
     failed: forwarding.TargetAnswer | None = None
-    repeat: forwarding.RetryCause = forwarding.RetryCause.NONE
+    retry_cause: forwarding.RetryCause = forwarding.RetryCause.NONE
 
     @property
     def is_last_attempt(self) -> bool:
@@ -85,7 +85,7 @@
         if outcome.status < FAILED_STATUS:
             return Action.ANSWER
         self.failed = outcome
-        self.repeat = forwarding.RetryCause.AFTER_FAILURE
+        self.retry_cause = forwarding.RetryCause.AFTER_FAILURE
         return self._retry_or(Action.ANSWER, now)
 
     def may_retry(self, now: float) -> bool:
@@ -121,8 +121,8 @@
 
     def _retry_if_allowed(self, now: float) -> Action:
         """Return the next step after a dispatch that arrived at a target."""
-        if self.repeat is forwarding.RetryCause.NONE:
-            self.repeat = forwarding.RetryCause.REFUSED_OR_LOST
+        if self.retry_cause is forwarding.RetryCause.NONE:
+            self.retry_cause = forwarding.RetryCause.REFUSED_OR_LOST
         if self.runs >= self.max_attempts:
             return Action.GIVE_UP
         if self.deadline - now < MIN_RETRY_S:
--- a/src/peridotpost/decisions/fairness.py
+++ b/src/peridotpost/decisions/fairness.py
@@ -52,7 +52,7 @@
     """Virtual time of each caller and slots of each key, over all classes."""
 
     served: dict[str, float] = dataclasses.field(default_factory=dict)
-    running_keys: collections.Counter[str] = dataclasses.field(
+    running_by_key: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     virtual_clock: float = 0.0
@@ -62,7 +62,7 @@
 
         :param contended: others are waiting, so the caller is charged.
         """
-        self.running_keys[ticket.key] += 1
+        self.running_by_key[ticket.key] += 1
         if not contended:
             return
         start_time = self.virtual_time(ticket.caller)
@@ -72,9 +72,9 @@
         self.served[ticket.caller] = start_time + 1
 
     def finish(self, ticket: Ticket) -> None:
-        self.running_keys[ticket.key] -= 1
-        if not self.running_keys[ticket.key]:
-            del self.running_keys[ticket.key]
+        self.running_by_key[ticket.key] -= 1
+        if not self.running_by_key[ticket.key]:
+            del self.running_by_key[ticket.key]
 
     def virtual_time(self, caller: str) -> float:
         # An idle caller must not accumulate credit.
@@ -134,12 +134,12 @@
         best = min(
             heads,
             key=lambda ticket: (
-                shares.running_keys[ticket.key] >= key_limit,
+                shares.running_by_key[ticket.key] >= key_limit,
                 shares.virtual_time(ticket.caller),
                 -ticket.arrived if newest_first else ticket.arrived,
             ),
         )
-        if shares.running_keys[best.key] >= key_limit:
+        if shares.running_by_key[best.key] >= key_limit:
             best = (
                 self._first_below_key_limit(shares, key_limit, newest_first)
                 or best
@@ -157,7 +157,7 @@
         below_limit = [
             ticket
             for ticket in self.tickets()
-            if shares.running_keys[ticket.key] < key_limit
+            if shares.running_by_key[ticket.key] < key_limit
         ]
         if not below_limit:
             return None
--- a/src/peridotpost/decisions/fleet.py
+++ b/src/peridotpost/decisions/fleet.py
@@ -70,7 +70,9 @@
         default_factory=dict
     )
     departed_at: dict[str, float] = dataclasses.field(default_factory=dict)
-    sums: list[int] = dataclasses.field(default_factory=lambda: [0] * BUCKETS)
+    bucket_sums: list[int] = dataclasses.field(
+        default_factory=lambda: [0] * BUCKETS
+    )
     live_by_zone: dict[str, list[members.MemberRecord]] | None = None
 
     def merge(self, record: members.MemberRecord, now: float) -> bool:
@@ -80,8 +82,8 @@
             return False
         old_term = 0 if held is None else _bucket_term(held)
         bucket = bucket_of(record.host)
-        bucket_sum = self.sums[bucket] + _bucket_term(record) - old_term
-        self.sums[bucket] = bucket_sum % SUM_MODULUS
+        bucket_sum = self.bucket_sums[bucket] + _bucket_term(record) - old_term
+        self.bucket_sums[bucket] = bucket_sum % SUM_MODULUS
         self.records[record.host] = record
         self.live_by_zone = None
         if record.live:
@@ -129,7 +131,7 @@
 
     def differing(self, sums: Iterable[int]) -> frozenset[int]:
         """Return the buckets whose checksum differs from `sums`."""
-        pairs = zip(self.sums, sums, strict=True)
+        pairs = zip(self.bucket_sums, sums, strict=True)
         return frozenset(
             bucket for bucket, (own, other) in enumerate(pairs) if own != other
         )
--- a/src/peridotpost/decisions/peerqueries.py
+++ b/src/peridotpost/decisions/peerqueries.py
@@ -22,7 +22,7 @@
 import dataclasses
 
 MAX_SAME_ZONE_PEERS = 3
-MAX_OTHER_ZONE_PEERS = 1
+MAX_REMOTE_ZONE_PEERS = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,17 +34,17 @@
     """
 
     host: str
-    other_zone: bool
+    in_remote_zone: bool
     asked: bool
 
 
 def peers_to_ask(candidates: Sequence[PeerCandidate]) -> list[str]:
     """Return the hosts to ask now, in the order of `candidates`."""
-    same_zone = [one for one in candidates if not one.other_zone]
+    same_zone = [one for one in candidates if not one.in_remote_zone]
     pool, limit = (
         (same_zone, MAX_SAME_ZONE_PEERS)
         if same_zone
-        else (candidates, MAX_OTHER_ZONE_PEERS)
+        else (candidates, MAX_REMOTE_ZONE_PEERS)
     )
     missing = limit - sum(one.asked for one in pool)
     new = [one.host for one in pool if not one.asked]
--- a/src/peridotpost/decisions/releaseplan.py
+++ b/src/peridotpost/decisions/releaseplan.py
@@ -38,7 +38,7 @@
 """Also the time in which a new coordinator connects to all targets."""
 MIN_NEW_RUNS = 30
 """Runs of the new version that are needed before its share grows."""
-FOCUS_INTERVAL_S = 1.0
+CANARY_HOST_INTERVAL_S = 1.0
 NO_TARGET_TIMEOUT_S = 10.0
 """A version without a target is rolled back this long after the deadline."""
 
@@ -142,11 +142,11 @@
             return SHIFT_SHARES[min(step, len(SHIFT_SHARES) - 1)]
         return 0.0 if self.stage is release.Stage.ROLLED_BACK else 1.0
 
-    def focus(self, view: FleetView, now: float) -> str:
+    def canary_host(self, view: FleetView, now: float) -> str:
         """Return the host whose target gets the canary share; '' for all."""
         if self.stage is not release.Stage.CANARY or not view.new_hosts:
             return ''
-        turn = int((now - self.started) / FOCUS_INTERVAL_S)
+        turn = int((now - self.started) / CANARY_HOST_INTERVAL_S)
         return sorted(view.new_hosts)[turn % len(view.new_hosts)]
 
     def _step_canary(
--- a/src/peridotpost/decisions/releasesplit.py
+++ b/src/peridotpost/decisions/releasesplit.py
@@ -79,7 +79,9 @@
         known_release.last_update_at = now
         return True
 
-    def banned(self, order: release.ReleaseOrder) -> tuple[str, ...]:
+    def versions_to_reject(
+        self, order: release.ReleaseOrder
+    ) -> tuple[str, ...]:
         """Return the `rejected_versions` of a new order's states.
 
         A version that was rolled back, or whose release did not complete,
--- a/src/peridotpost/decisions/selection.py
+++ b/src/peridotpost/decisions/selection.py
@@ -37,7 +37,7 @@
 
 OWN_ZONE_SHARE = 0.9
 WORTH_CROSSING = 0.8
-FULL = 0.9
+FULL_LOAD = 0.9
 """Load from which a target is assumed to have no free slot."""
 MAX_COMPARED = 8
 """Targets whose costs are computed for one selection."""
@@ -154,7 +154,7 @@
             candidate
             for candidate in usable
             if not self._in_own_zone(candidate)
-            and candidate.load_now(now) < FULL
+            and candidate.load_now(now) < FULL_LOAD
         ]
         if not free_remote:
             return best
@@ -169,7 +169,7 @@
         now: float,
     ) -> bool:
         """Whether a local target is good enough to stay in the own zone."""
-        return cost_s <= limit_s and candidate.load_now(now) < FULL
+        return cost_s <= limit_s and candidate.load_now(now) < FULL_LOAD
 
     def last_resort(
         self, known: Collection[targetstate.Candidate], route: str, now: float
@@ -195,7 +195,9 @@
         self, candidate: targetstate.Candidate, now: float
     ) -> bool:
         """Whether a target is worth trying after another one refused."""
-        return self._in_own_zone(candidate) or candidate.load_now(now) < FULL
+        return (
+            self._in_own_zone(candidate) or candidate.load_now(now) < FULL_LOAD
+        )
 
     def _in_own_zone(self, candidate: targetstate.Candidate) -> bool:
         return candidate.availability_zone == self.zone
--- a/src/peridotpost/decisions/targetstate.py
+++ b/src/peridotpost/decisions/targetstate.py
@@ -81,7 +81,7 @@
         self.ready = ready
         self.version = version
 
-    def report(self, load: float, now: float) -> None:
+    def report_load(self, load: float, now: float) -> None:
         """Store the load that the guard reported."""
         self.load = load
         self.load_at = now
--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -284,7 +284,10 @@
         self.dirty_config = (
             hello.revision <= scoped.revision and not holds_same
         )
-        if len(hello.member_sums) not in (0, len(self.replica.fleet.sums)):
+        if len(hello.member_sums) not in (
+            0,
+            len(self.replica.fleet.bucket_sums),
+        ):
             raise errors.CodecError(
                 'unexpected number of member sums',
                 step='link.greet',
@@ -357,7 +360,7 @@
         revision=replica.version.revision,
         config_digest=replica.digest,
         interest=wire.interest_to_wire(replica.interest),
-        member_sums=[] if link.dialled else replica.fleet.sums,
+        member_sums=[] if link.dialled else replica.fleet.bucket_sums,
     )
 
 
--- a/src/peridotpost/distribution/reconcile.py
+++ b/src/peridotpost/distribution/reconcile.py
@@ -113,7 +113,7 @@
             revision=replica.version.revision,
             config_digest=replica.digest,
             interest=wire.interest_to_wire(replica.interest),
-            member_sums=replica.fleet.sums,
+            member_sums=replica.fleet.bucket_sums,
         )
         own_record = replica.fleet.records.get(replica.host)
         if own_record is not None:
--- a/src/peridotpost/distribution/server.py
+++ b/src/peridotpost/distribution/server.py
@@ -117,7 +117,7 @@
                 wire.member_to_wire(record) for record in newer
             )
             return facts
-        if len(digest.member_sums) != len(fleet.sums):
+        if len(digest.member_sums) != len(fleet.bucket_sums):
             raise errors.CodecError(
                 'unexpected number of member sums',
                 step='reconcile.answer',
--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -126,7 +126,7 @@
         candidates = host.candidates(route.service)
         for candidate in candidates:
             if candidate.host == host.name:
-                candidate.report(host.queue.load, now)
+                candidate.report_load(host.queue.load, now)
         # Once the objective is missed, the deadline counts.
         remaining_s = pending.objective - now
         if remaining_s <= 0:
@@ -167,7 +167,7 @@
             outcome: forwarding.Outcome, load: float, run_s: float
         ) -> None:
             candidate.outstanding -= 1
-            candidate.report(load, self.fleet.clock.now)
+            candidate.report_load(load, self.fleet.clock.now)
             candidate.report_run(route.name, run_s)
             self._on_outcome(pending, candidate, outcome)
 
@@ -186,7 +186,7 @@
             last=pending.last_asked,
             done=settled,
             route=route.name,
-            retry_cause=pending.attempts.repeat,
+            retry_cause=pending.attempts.retry_cause,
         )
 
     def _on_outcome(
--- a/src/peridotpost/mesh/directory.py
+++ b/src/peridotpost/mesh/directory.py
@@ -101,7 +101,7 @@
         if own.service == service:
             queue = self.guard.queue
             now = deadlines.now()
-            own.report(queue.load, now)
+            own.report_load(queue.load, now)
             own.report_failures(self.guard.failures.value(now), now)
             own.run_s = queue.times.mean_s
             own.run_by_route = queue.times.mean_by_route
@@ -439,7 +439,7 @@
 ) -> None:
     """Update a candidate with the load and failures its guard reported."""
     now = deadlines.now()
-    candidate.report(load, now)
+    candidate.report_load(load, now)
     candidate.report_failures(failing, now)
 
 
--- a/src/peridotpost/mesh/releasecoordinator.py
+++ b/src/peridotpost/mesh/releasecoordinator.py
@@ -79,7 +79,9 @@
     def last_update_at(self, service: str) -> float:
         """Return when the coordinator's last update arrived."""
 
-    def banned(self, order: release.ReleaseOrder) -> tuple[str, ...]:
+    def versions_to_reject(
+        self, order: release.ReleaseOrder
+    ) -> tuple[str, ...]:
         """Return the versions that get no requests under an order."""
 
 
@@ -109,7 +111,7 @@
         self.number = 0
         self.renewed_at = 0.0
         self.completing = False
-        self.rejected_versions = fleet.split.banned(order)
+        self.rejected_versions = fleet.split.versions_to_reject(order)
 
     async def run(self) -> None:
         """Ensure that the release has a coordinator until it is final."""
@@ -266,7 +268,7 @@
                 self.completing = True
                 if await self._write_status(release.Stage.COMPLETED):
                     plan.complete(now)
-            share, canary_host = plan.share(now), plan.focus(view, now)
+            share, canary_host = plan.share(now), plan.canary_host(view, now)
             update = (plan.stage, share, canary_host)
             if (
                 update != last_update
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -293,7 +293,7 @@
                 exchange, candidate, order, outcome
             ),
             route=exchange.route.name,
-            retry_cause=exchange.attempts.repeat,
+            retry_cause=exchange.attempts.retry_cause,
             inherited_retry_weight=self._inherited_retry_weight(exchange),
             body_deferred=may_refuse and len(message.body) > INLINE_BODY_BYTES,
             may_move=lambda: self._may_reroute(exchange),
--- a/testing/test_asking.py
+++ b/testing/test_asking.py
@@ -26,7 +26,7 @@
         pytest.param(11, 48, 1, 2, id='one answer may still come'),
         pytest.param(2, 48, 0, 2, id='a small zone'),
         pytest.param(
-            0, 48, 0, peerqueries.MAX_OTHER_ZONE_PEERS, id='alone in its zone'
+            0, 48, 0, peerqueries.MAX_REMOTE_ZONE_PEERS, id='alone in its zone'
         ),
         pytest.param(0, 48, 1, 0, id='alone, and asked'),
         pytest.param(0, 0, 0, 0, id='no-peers'),
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -103,7 +103,7 @@
     request = attempts.Attempts(True, 2, deadline=1.0)
     for outcome in outcomes:
         request.after(outcome, 0.0)
-    assert request.repeat is repeat
+    assert request.retry_cause is repeat
 
 
 @pytest.mark.parametrize(
--- a/testing/test_experiment.py
+++ b/testing/test_experiment.py
@@ -241,7 +241,7 @@
     well: cross-zone traffic rises and callers are served no better.
     """
     as_built = play(double_load, seed)
-    crossing_freely = play(double_load, seed, selection__FULL=1.2)
+    crossing_freely = play(double_load, seed, selection__FULL_LOAD=1.2)
     assert as_built.far_kilobytes < 0.9 * crossing_freely.far_kilobytes
     assert as_built.credit_share > crossing_freely.credit_share - 0.01
 
--- a/testing/test_fairness.py
+++ b/testing/test_fairness.py
@@ -83,7 +83,7 @@
     shares.start(ticket('returning', 0.0), True)
     for _ in range(1000):
         shares.start(ticket('busy', 0.0), True)
-    shares.running_keys.clear()
+    shares.running_by_key.clear()
     for number in range(10):
         queue.push(ticket('busy', number))
         queue.push(ticket('returning', number))
@@ -110,4 +110,4 @@
         if running:
             running = gate.finish(running[0], 0.0).started
     assert len(gate.shares.served) <= fairness.MAX_CALLERS
-    assert len(gate.shares.running_keys) <= 1
+    assert len(gate.shares.running_by_key) <= 1
--- a/testing/test_releaseplan.py
+++ b/testing/test_releaseplan.py
@@ -146,5 +146,5 @@
 
 def test_canary_targets_take_turns() -> None:
     plan = plan_at(0.0, view())
-    focused_hosts = [plan.focus(view(), now) for now in (0.5, 1.5, 2.5)]
+    focused_hosts = [plan.canary_host(view(), now) for now in (0.5, 1.5, 2.5)]
     assert focused_hosts == ['c', 'd', 'c']
--- a/testing/test_releases.py
+++ b/testing/test_releases.py
@@ -25,7 +25,7 @@
         ('MIN_CANARY_S', 0.3),
         ('DRAIN_ALLOWANCE_S', 0.2),
         ('SHIFT_STEP_S', 0.1),
-        ('FOCUS_INTERVAL_S', 0.1),
+        ('CANARY_HOST_INTERVAL_S', 0.1),
     ):
         monkeypatch.setattr(releaseplan, name, seconds)
     monkeypatch.setattr(releaseplan, 'MIN_NEW_RUNS', 5)
--- a/testing/test_releasesplit.py
+++ b/testing/test_releasesplit.py
@@ -194,10 +194,10 @@
     split = releasesplit.ReleaseSplit()
     split.offer(state(), 0.0)
     second = release.ReleaseOrder('bonds', 'v3', 12.0, 20)
-    banned = split.banned(second)
+    banned = split.versions_to_reject(second)
     assert banned == ('v2',)
     split.offer(state(order=second, rejected_versions=banned), 0.0)
     assert hosts(split, known=[*KNOWN, target('e', 'v3')]) == 'ab'
     assert split.refuses_new_work('bonds', 'v2')
     again = release.ReleaseOrder('bonds', 'v2', 12.0, 30)
-    assert split.banned(again) == ('v3',)
+    assert split.versions_to_reject(again) == ('v3',)
--- a/testing/test_replicas_machine.py
+++ b/testing/test_replicas_machine.py
@@ -241,7 +241,9 @@
         newest = max(self.accepted)
         self.nodes['relay'].offer_version(self.accepted[newest])
         distribution_harness.run_until_idle(list(self.pipes.values()))
-        sums = {tuple(n.replica.fleet.sums) for n in self.nodes.values()}
+        sums = {
+            tuple(n.replica.fleet.bucket_sums) for n in self.nodes.values()
+        }
         assert len(sums) == 1
         for node in self.nodes.values():
             assert node.replica.version.revision == newest
--- a/testing/test_selection.py
+++ b/testing/test_selection.py
@@ -13,7 +13,7 @@
     host: str, zone: str = 'own', run_s: float = 0.06, load: float = 0.0
 ) -> targetstate.Candidate:
     candidate = targetstate.Candidate(host, zone, ready=True, slots=12)
-    candidate.report(load, 0.0)
+    candidate.report_load(load, 0.0)
     candidate.report_run('r', run_s)
     candidate.run_s = run_s
     return candidate
--- a/testing/test_versions_rules.py
+++ b/testing/test_versions_rules.py
@@ -265,7 +265,7 @@
     )
     pipe = distribution_harness.Pipe(child, parent)
     distribution_harness.run_until_idle([pipe])
-    assert child.replica.fleet.sums == parent.replica.fleet.sums
+    assert child.replica.fleet.bucket_sums == parent.replica.fleet.bucket_sums
     assert pipe.bytes_sent < bound
 
 
--- a/testing/zones.py
+++ b/testing/zones.py
@@ -220,7 +220,8 @@
     def have_converged(self) -> bool:
         """Whether all daemons have the same record of every member."""
         fleets = {
-            tuple(self.replica(host).fleet.sums) for host in self.daemons
+            tuple(self.replica(host).fleet.bucket_sums)
+            for host in self.daemons
         }
         return len(fleets) == 1
 
