--- a/bench/releases.py
+++ b/bench/releases.py
@@ -204,9 +204,9 @@
     outcome.total_requests += before_deadline
     if not to_new:
         releaseload.run(old[route], GOOD, now, True, randomness)
-        ingress.ran('bonds', 'v1')
+        ingress.record_run('bonds', 'v1')
         return
-    ingress.ran('bonds', 'v2')
+    ingress.record_run('bonds', 'v2')
     outcome.new_version_requests += before_deadline
     outcome.last_new_request_at = now
     # All canary requests go to one target, so that target is busy.
--- a/src/peridotpost/calls/gates.py
+++ b/src/peridotpost/calls/gates.py
@@ -65,7 +65,7 @@
             )
             target_gate = self.by_target[key] = TargetGate(gate, {})
         target_gate.gate.slots = slots
-        target_gate.gate.queue = spec.limits.queue
+        target_gate.gate.max_queue = spec.limits.queue
         return target_gate
 
     def load_of(self, key: tuple[str, str]) -> float:
--- a/src/peridotpost/calls/guard.py
+++ b/src/peridotpost/calls/guard.py
@@ -211,7 +211,7 @@
             self.counts.add('guard.deadline')
             return self._unknown(f'{target.name!r} exceeded the deadline')
         self.counts.add('guard.answered')
-        self.poison.answered(call)
+        self.poison.record_answer(call)
         return answer
 
     def _target_crashed(
@@ -243,7 +243,9 @@
     ) -> None:
         """Record that a request crashed a target on this or another host."""
         self.counts.add('guard.crash-noted')
-        self.poison.crashed(fingerprints, target, incident, self.clock.now())
+        self.poison.record_crash(
+            fingerprints, target, incident, self.clock.now()
+        )
 
     def discard_gone(self) -> None:
         """Discard the state of targets that no longer exist."""
--- a/src/peridotpost/calls/ledger.py
+++ b/src/peridotpost/calls/ledger.py
@@ -43,9 +43,9 @@
         decision = idempotency.decide_dispatch(
             known.record if known else None, call.attempt
         )
-        if decision is idempotency.Dispatch.RUN:
+        if decision is idempotency.DispatchDecision.RUN:
             known = self._start(call, start)
-        elif decision is idempotency.Dispatch.STALE or known is None:
+        elif decision is idempotency.DispatchDecision.STALE or known is None:
             return calls.OutcomeUnknown('a later dispatch of the key is known')
         if known.running is not None:
             # The run continues after its caller disconnects: a resend of
--- a/src/peridotpost/calls/owner.py
+++ b/src/peridotpost/calls/owner.py
@@ -201,7 +201,7 @@
         # An exception may occur after the call was dispatched.
         outcome: calls.Outcome = self._unknown('its run failed')
         try:
-            outcome = await self.dispatch(call, entry.attempts)
+            outcome = await self.dispatch(call, entry.last_reserved_attempt)
         except Exception:
             self.counts.add('owner.broken-off')
             eliot.write_traceback()
--- a/src/peridotpost/calls/router.py
+++ b/src/peridotpost/calls/router.py
@@ -187,7 +187,7 @@
         if isinstance(outcome, calls.OutcomeUnknown) and outcome.incident:
             await self._report_crash(call, key, outcome.incident)
         elif isinstance(outcome, calls.Answer):
-            self.guard.poison.answered(call)
+            self.guard.poison.record_answer(call)
 
     async def _report_crash(
         self, call: calls.Call, target: str, incident: str
--- a/src/peridotpost/decisions/admission.py
+++ b/src/peridotpost/decisions/admission.py
@@ -90,10 +90,10 @@
     """
 
     def __init__(
-        self, slots: int, queue: int, randomness: random.Random
+        self, slots: int, max_queue: int, randomness: random.Random
     ) -> None:
         self.slots = slots
-        self.queue = queue
+        self.max_queue = max_queue
         self.randomness = randomness
         self.classes = {
             work_class: ClassState() for work_class in config.WorkClass
@@ -237,7 +237,7 @@
         self, state: ClassState, overloaded: bool
     ) -> tuple[fairness.Ticket, ...]:
         """Drop requests of the heaviest flow until the queue fits."""
-        max_size = self.queue
+        max_size = self.max_queue
         if overloaded:
             max_size = min(max_size, self.slots * OVERLOAD_QUEUE_PER_SLOT)
         dropped: list[fairness.Ticket] = []
--- a/src/peridotpost/decisions/attempts.py
+++ b/src/peridotpost/decisions/attempts.py
@@ -64,8 +64,8 @@
     budget_refusals: int = 0
     arrivals: int = 0
     runs: int = 0
-    lost: str = ''
-    failed: forwarding.TargetAnswer | None = None
+    lost_detail: str = ''
+    failure_answer: forwarding.TargetAnswer | None = None
     retry_cause: forwarding.RetryCause = forwarding.RetryCause.NONE
 
     @property
@@ -80,11 +80,11 @@
         self.arrivals += 1
         self.runs += 1
         if isinstance(outcome, forwarding.ResponseLost):
-            self.lost = outcome.detail
+            self.lost_detail = outcome.detail
             return self._retry_or(Action.GIVE_UP, now)
         if outcome.status < FAILED_STATUS:
             return Action.ANSWER
-        self.failed = outcome
+        self.failure_answer = outcome
         self.retry_cause = forwarding.RetryCause.AFTER_FAILURE
         return self._retry_or(Action.ANSWER, now)
 
--- a/src/peridotpost/decisions/fairness.py
+++ b/src/peridotpost/decisions/fairness.py
@@ -51,7 +51,7 @@
 class FairShares:
     """Virtual time of each caller and slots of each key, over all classes."""
 
-    served: dict[str, float] = dataclasses.field(default_factory=dict)
+    virtual_times: dict[str, float] = dataclasses.field(default_factory=dict)
     running_by_key: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
@@ -67,9 +67,9 @@
             return
         start_time = self.virtual_time(ticket.caller)
         self.virtual_clock = max(self.virtual_clock, start_time)
-        if len(self.served) >= MAX_CALLERS:
+        if len(self.virtual_times) >= MAX_CALLERS:
             self.reset()
-        self.served[ticket.caller] = start_time + 1
+        self.virtual_times[ticket.caller] = start_time + 1
 
     def finish(self, ticket: Ticket) -> None:
         self.running_by_key[ticket.key] -= 1
@@ -78,7 +78,7 @@
 
     def virtual_time(self, caller: str) -> float:
         # An idle caller must not accumulate credit.
-        return max(self.served.get(caller, 0.0), self.virtual_clock)
+        return max(self.virtual_times.get(caller, 0.0), self.virtual_clock)
 
     def reset(self) -> None:
         """Clear all charges once no request is queued.
@@ -86,7 +86,7 @@
         Charges only order the callers that wait for each other.  Kept longer,
         the table would grow with every caller ever seen.
         """
-        self.served.clear()
+        self.virtual_times.clear()
 
 
 class FairQueue:
--- a/src/peridotpost/decisions/following.py
+++ b/src/peridotpost/decisions/following.py
@@ -59,15 +59,15 @@
     peer_read_at: float = -FOLLOWER_TIMEOUT_S
 
     @property
-    def slow(self) -> bool:
+    def has_slow_link(self) -> bool:
         return self.link_mbps < SLOW_LINK_MBPS
 
     @property
     def follows_store(self) -> bool:
         """Whether this daemon is a follower: fast link, store reachable."""
-        return self.store_reachable is True and not self.slow
+        return self.store_reachable is True and not self.has_slow_link
 
-    def heard(self, host: str, now: float) -> bool:
+    def note_follower(self, host: str, now: float) -> bool:
         """Record the announcement of a follower.
 
         Returns whether it is the only follower known.
@@ -76,7 +76,7 @@
         self.last_heard_by_host[host] = now
         return first
 
-    def lost(self, host: str) -> None:
+    def note_follower_lost(self, host: str) -> None:
         """Record that a host announced that it lost the store."""
         if (
             self.last_heard_by_host.pop(host, None)
--- a/src/peridotpost/decisions/idempotency.py
+++ b/src/peridotpost/decisions/idempotency.py
@@ -98,7 +98,7 @@
 
     key: Key
     fingerprint: bytes
-    attempts: int = 0
+    last_reserved_attempt: int = 0
     running: bool = False
     outcome: calls.Outcome | None = None
 
@@ -143,7 +143,7 @@
             heapq.heappush(self.eviction_heap, (key.timestamp_ms, key.text))
         entry.fingerprint = fingerprint
         entry.running = True
-        entry.attempts += ATTEMPTS_PER_RUN
+        entry.last_reserved_attempt += ATTEMPTS_PER_RUN
         self._evict()
         return entry
 
@@ -238,7 +238,7 @@
     outcome: calls.Outcome | None = None
 
 
-class Dispatch(enum.Enum):
+class DispatchDecision(enum.Enum):
     """How a guard handles a dispatch: run it, join a run, or reject it."""
 
     RUN = 'run'
@@ -246,7 +246,9 @@
     STALE = 'stale'
 
 
-def decide_dispatch(known: DispatchRecord | None, attempt: int) -> Dispatch:
+def decide_dispatch(
+    known: DispatchRecord | None, attempt: int
+) -> DispatchDecision:
     """Decide how to handle dispatch number `attempt` of a key.
 
     A duplicate of a dispatch that this guard refused must not run after
@@ -254,9 +256,9 @@
     is not higher than the last known one is therefore never run.
     """
     if known is None:
-        return Dispatch.RUN
+        return DispatchDecision.RUN
     if attempt < known.attempt:
-        return Dispatch.STALE
+        return DispatchDecision.STALE
     if attempt > known.attempt and isinstance(known.outcome, calls.NotRun):
-        return Dispatch.RUN
-    return Dispatch.JOIN
+        return DispatchDecision.RUN
+    return DispatchDecision.JOIN
--- a/src/peridotpost/decisions/poison.py
+++ b/src/peridotpost/decisions/poison.py
@@ -82,7 +82,7 @@
     def __init__(self) -> None:
         self.suspects: dict[str, Suspect] = {}
 
-    def crashed(
+    def record_crash(
         self, names: Iterable[str], target: str, incident: str, now: float
     ) -> None:
         """Record that a request crashed `target`.
@@ -109,7 +109,7 @@
                 )
                 suspect.refused_until = now + refusal_s
 
-    def answered(self, call: calls.Call) -> None:
+    def record_answer(self, call: calls.Call) -> None:
         """Clear a request that a target answered.
 
         A frequent request is running on most targets that get killed for
--- a/src/peridotpost/decisions/releasesplit.py
+++ b/src/peridotpost/decisions/releasesplit.py
@@ -120,7 +120,7 @@
         known_release.credit -= 1
         return True
 
-    def ran(self, service: str, version: str) -> None:
+    def record_run(self, service: str, version: str) -> None:
         """Record that a target of `version` ran a request of this ingress."""
         known_release = self.releases.get(service)
         if known_release is None or known_release.state.stage.is_final:
--- a/src/peridotpost/decisions/slots.py
+++ b/src/peridotpost/decisions/slots.py
@@ -101,7 +101,9 @@
         slots = max(1, self.slots)
         next_free_s = self.running_work_s / max(1, self.running)
         work_s = next_free_s + self._work_ahead_s(order, late)
-        available_share = 1 - self.shares.before(precedence, slots, now)
+        available_share = 1 - self.shares.share_ahead_of(
+            precedence, slots, now
+        )
         return work_s / slots / available_share
 
     def submit(self, order: forwarding.Order, now: float) -> Decision:
--- a/src/peridotpost/decisions/slotshare.py
+++ b/src/peridotpost/decisions/slotshare.py
@@ -76,7 +76,9 @@
             run_s, now
         )
 
-    def before(self, precedence: Precedence, slots: int, now: float) -> float:
+    def share_ahead_of(
+        self, precedence: Precedence, slots: int, now: float
+    ) -> float:
         """Return the share of `slots` taken by work ahead of `precedence`."""
         work_s = sum(
             work.value_s(now)
--- a/src/peridotpost/decisions/suspicion.py
+++ b/src/peridotpost/decisions/suspicion.py
@@ -135,40 +135,40 @@
     """The suspicions of one observer, by host."""
 
     suspicion_s: float
-    running: dict[str, Suspicion] = dataclasses.field(default_factory=dict)
+    by_host: dict[str, Suspicion] = dataclasses.field(default_factory=dict)
 
     def observe(self, record: members.MemberRecord, now: float) -> None:
         """Start or end a suspicion as the status of `record` says."""
         if record.status is not members.Status.SUSPECT:
-            self.running.pop(record.host, None)
+            self.by_host.pop(record.host, None)
             return
-        suspicion = self.running.get(record.host)
+        suspicion = self.by_host.get(record.host)
         if suspicion is None or suspicion.incarnation != record.incarnation:
-            self.running[record.host] = Suspicion(record.incarnation, now)
+            self.by_host[record.host] = Suspicion(record.incarnation, now)
 
     def record_silence(self, record: members.MemberRecord, now: float) -> None:
         """Record that this observer and its helpers got no answer."""
-        suspicion = self.running.get(record.host)
+        suspicion = self.by_host.get(record.host)
         if suspicion is None or suspicion.incarnation != record.incarnation:
             suspicion = Suspicion(record.incarnation, now)
-            self.running[record.host] = suspicion
+            self.by_host[record.host] = suspicion
         suspicion.silent_periods += 1
 
     def record_answer(self, host: str, now: float) -> None:
         """Restart the suspicion: the host answers but has not refuted yet."""
-        suspicion = self.running.get(host)
+        suspicion = self.by_host.get(host)
         if suspicion is not None:
             suspicion.started_at = now
             suspicion.silent_periods = 0
 
     def restart(self, now: float) -> None:
         """Restart the time of all suspicions."""
-        for suspicion in self.running.values():
+        for suspicion in self.by_host.values():
             suspicion.started_at = now
 
     def has_expired(self, host: str, now: float) -> bool:
         """Whether `host` has been suspected for the full duration."""
-        suspicion = self.running.get(host)
+        suspicion = self.by_host.get(host)
         if suspicion is None:
             return False
         return now - suspicion.started_at >= suspicion.duration_s(
@@ -178,14 +178,14 @@
     def expired(self, now: float) -> list[str]:
         """Return the hosts whose suspicion has expired, oldest first."""
         expired = [
-            host for host in self.running if self.has_expired(host, now)
+            host for host in self.by_host if self.has_expired(host, now)
         ]
-        return sorted(expired, key=lambda host: self.running[host].started_at)
+        return sorted(expired, key=lambda host: self.by_host[host].started_at)
 
     def found_by_self(self) -> list[str]:
         """Return the suspects that this observer itself found silent."""
         return [
-            host for host, one in self.running.items() if one.silent_periods
+            host for host, one in self.by_host.items() if one.silent_periods
         ]
 
 
--- a/src/peridotpost/decisions/targetstate.py
+++ b/src/peridotpost/decisions/targetstate.py
@@ -98,7 +98,7 @@
         self.run_s = DEFAULT_RUN_S
         self.run_by_route.clear()
 
-    def note(self, failed: bool, now: float) -> None:
+    def note_outcome(self, failed: bool, now: float) -> None:
         """Record the outcome of a request that the target ran."""
         self.observed_failures.note(failed, now)
 
--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -205,9 +205,9 @@
             )
         if not isinstance(outcome, forwarding.Refused) or outcome.arrived:
             result.arrivals += 1
-            candidate.note(outcome is not hosts.SUCCEEDED, now)
+            candidate.note_outcome(outcome is not hosts.SUCCEEDED, now)
         action = pending.attempts.after(outcome, now)
         if action is attempts.Action.RETRY and now < pending.deadline:
             self._dispatch(pending)
         else:
-            self._complete(pending, pending.attempts.failed or outcome)
+            self._complete(pending, pending.attempts.failure_answer or outcome)
--- a/src/peridotpost/membership/pings.py
+++ b/src/peridotpost/membership/pings.py
@@ -80,7 +80,7 @@
         self.randomness = randomness
         self.timeout_s = timeout_s
         self.transport: asyncio.DatagramTransport | None = None
-        self.waiting: dict[int, PendingProbe] = {}
+        self.pending_probes: dict[int, PendingProbe] = {}
         self.relay_tasks: set[asyncio.Task[None]] = set()
 
     async def ping(self, record: members.MemberRecord) -> bool:
@@ -125,11 +125,11 @@
             {(one.address, one.probe_port): one.host for one in answerers},
             answered,
         )
-        self.waiting[nonce] = pending
+        self.pending_probes[nonce] = pending
         try:
             yield nonce, pending
         finally:
-            del self.waiting[nonce]
+            del self.pending_probes[nonce]
 
     async def _wait_for_answer(
         self, pending: PendingProbe, timeout_s: float
@@ -240,7 +240,7 @@
         facts: list[members.MemberRecord],
         address: Address,
     ) -> None:
-        pending = self.waiting.get(probe.nonce)
+        pending = self.pending_probes.get(probe.nonce)
         if pending is None:
             self.counts.add('probe.stale')
             return
--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -120,7 +120,7 @@
         read_policy = following.StoreReadPolicy(
             settings.link_mbps, deadlines.now()
         )
-        self.directory.slow = read_policy.slow
+        self.directory.slow = read_policy.has_slow_link
         self.versions = version_feed.Versions(
             self.adapter.decode,
             self._apply_config,
@@ -197,7 +197,7 @@
                 asyncio.ensure_future(self._announce_or_read_config()),
                 asyncio.ensure_future(self._log_counts()),
             ]
-            if not self.versions.following.slow:
+            if not self.versions.following.has_slow_link:
                 running.append(asyncio.ensure_future(self.feed.watch()))
             try:
                 yield self
@@ -390,7 +390,7 @@
         await asyncio.sleep(following.HEARTBEAT_S * self.randomness.random())
         while not tasks.cancelled():
             await asyncio.sleep(following.HEARTBEAT_S)
-            if self.versions.following.slow:
+            if self.versions.following.has_slow_link:
                 await self.feed.read_if_due()
             else:
                 self.versions.announce_following()
--- a/src/peridotpost/mesh/storefeed.py
+++ b/src/peridotpost/mesh/storefeed.py
@@ -301,7 +301,7 @@
 
     @property
     def _max_retry_s(self) -> float:
-        slow = self.versions.following.slow
+        slow = self.versions.following.has_slow_link
         return MAX_SLOW_LINK_RETRY_PAUSE_S if slow else MAX_RETRY_PAUSE_S
 
     def _handle_followed_again(self, host: str) -> None:
@@ -372,7 +372,7 @@
 
     def _set_reachable_by_poll(self, reachable: bool, error: str) -> None:
         """Derive the store's state from the polls if there is no watch."""
-        if self.versions.following.slow:
+        if self.versions.following.has_slow_link:
             self._set_reachable(reachable, error)
 
     def _handle_records(self, records: Sequence[instances.HostRecord]) -> None:
--- a/src/peridotpost/mesh/versions.py
+++ b/src/peridotpost/mesh/versions.py
@@ -156,7 +156,11 @@
         )
 
     def _version_frame(self) -> frames.Version:
-        follows = None if self.following.slow else self.following.follows_store
+        follows = (
+            None
+            if self.following.has_slow_link
+            else self.following.follows_store
+        )
         return frames.Version(self.version, follows)
 
     def _handle_version(
@@ -166,16 +170,20 @@
         if frame.following and stream.slow and not remote_zone:
             self.following.note_peer_read(deadlines.now())
         elif frame.following and not remote_zone:
-            if self.following.heard(stream.host, deadlines.now()):
+            if self.following.note_follower(stream.host, deadlines.now()):
                 self.followed_again.fire(stream.host)
         elif frame.following is False and not remote_zone:
-            self.following.lost(stream.host)
+            self.following.note_follower_lost(stream.host)
         if frame.version <= self.version:
             return
         if not self.version:
             self._schedule_first_fetch(stream, frame.version)
             return
-        if frame.following and self.following.slow and not remote_zone:
+        if (
+            frame.following
+            and self.following.has_slow_link
+            and not remote_zone
+        ):
             self._fetch(stream, frame.version)
             return
         loop = asyncio.get_running_loop()
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -346,22 +346,22 @@
     ) -> None:
         """Update the target's health statistics from an outcome."""
         if not isinstance(outcome, forwarding.Refused):
-            self.releases.ran(exchange.service, candidate.version)
+            self.releases.record_run(exchange.service, candidate.version)
         if isinstance(outcome, forwarding.Refused):
             if outcome.arrived:
                 # The guard never exceeds the target's slots, so a target that
                 # itself refuses a request is failing.
-                candidate.note(True, now)
+                candidate.note_outcome(True, now)
             if outcome.reason is forwarding.Refusal.NO_RETRY_BUDGET:
                 self.no_budget_at[exchange.service] = now
             if outcome.retry_after_s:
                 exchange.retry_after_s = outcome.retry_after_s
         elif isinstance(outcome, forwarding.ResponseLost):
-            candidate.note(True, now)
+            candidate.note_outcome(True, now)
             self.log.lost(exchange, candidate.host, outcome.detail)
         else:
             failed = outcome.status >= attempts.FAILED_STATUS
-            candidate.note(failed, now)
+            candidate.note_outcome(failed, now)
 
     def _finish_with_answer(
         self, exchange: exchanges.Exchange, outcome: forwarding.TargetAnswer
@@ -394,11 +394,15 @@
         self, exchange: exchanges.Exchange, reason: forwarding.Refusal
     ) -> None:
         """Answer a request for which no other target will be asked."""
-        if exchange.attempts.failed is not None:
-            self._finish_with_answer(exchange, exchange.attempts.failed)
-        elif exchange.attempts.lost:
+        if exchange.attempts.failure_answer is not None:
+            self._finish_with_answer(
+                exchange, exchange.attempts.failure_answer
+            )
+        elif exchange.attempts.lost_detail:
             self._mark_finished(exchange)
-            self.log.ended(exchange, 'unknown', '', exchange.attempts.lost)
+            self.log.ended(
+                exchange, 'unknown', '', exchange.attempts.lost_detail
+            )
             self._send_problem(
                 exchange, problems.Problem(502, 'outcome-unknown')
             )
@@ -423,13 +427,13 @@
         dispatched = exchange.order is not None
         self._mark_finished(exchange)
         self._withdraw(exchange)
-        if exchange.attempts.failed is not None:
-            self._send_answer(exchange, exchange.attempts.failed)
+        if exchange.attempts.failure_answer is not None:
+            self._send_answer(exchange, exchange.attempts.failure_answer)
             return
         self._mark_failed_call(exchange)
-        detail = exchange.attempts.lost or 'no answer in time'
+        detail = exchange.attempts.lost_detail or 'no answer in time'
         self.log.ended(exchange, 'timeout', exchange.host, detail)
-        if dispatched or exchange.attempts.lost:
+        if dispatched or exchange.attempts.lost_detail:
             self._send_problem(exchange, problems.Problem(504, 'timeout'))
         else:
             self._send_problem(
--- a/src/peridotpost/proxy/requesthistory.py
+++ b/src/peridotpost/proxy/requesthistory.py
@@ -52,7 +52,9 @@
         self, fingerprints: Iterable[str], target: str, incident: str
     ) -> None:
         """Record requests that were running when a target crashed."""
-        self.poison.crashed(fingerprints, target, incident, deadlines.now())
+        self.poison.record_crash(
+            fingerprints, target, incident, deadlines.now()
+        )
 
     def clear_answered(self, message: http1.Message) -> None:
         """Clear the crash suspicion of a request that was answered."""
--- a/testing/ownership_model.py
+++ b/testing/ownership_model.py
@@ -251,7 +251,7 @@
 
     def _run(self, daemon: Daemon, key: idempotency.Key) -> None:
         entry = daemon.ledger.begin(key, b'')
-        self.dispatch(daemon, key, entry.attempts)
+        self.dispatch(daemon, key, entry.last_reserved_attempt)
 
     def dispatch(
         self, owner: Daemon, key: idempotency.Key, attempt: int
@@ -272,7 +272,7 @@
         known = guard.dispatches.get(key.text)
         verdict = idempotency.decide_dispatch(known, message.attempt)
         outcome: calls.Outcome = UNKNOWN
-        if verdict is idempotency.Dispatch.RUN:
+        if verdict is idempotency.DispatchDecision.RUN:
             outcome = REFUSED if full else self.run_at_target(key)
             guard.dispatches[key.text] = idempotency.DispatchRecord(
                 message.attempt, outcome
@@ -295,12 +295,12 @@
         if not owner.is_running or entry is None:
             return
         # A reply to an attempt that is no longer pending is dropped.
-        if not entry.running or entry.attempts != message.attempt:
+        if not entry.running or entry.last_reserved_attempt != message.attempt:
             return
         refused = isinstance(message.outcome, calls.NotRun)
         if refused and message.attempt % 2 == 0:
-            entry.attempts += 1
-            self.dispatch(owner, key, entry.attempts)
+            entry.last_reserved_attempt += 1
+            self.dispatch(owner, key, entry.last_reserved_attempt)
             return
         owner.ledger.finish(entry, message.outcome)
         self.answer_caller(key, message.outcome)
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -81,7 +81,7 @@
     for _ in range(attempts.MAX_REFUSALS):
         step = request.after(FULL, 0.1)
     assert step is GIVE_UP
-    assert request.lost == 'reset'
+    assert request.lost_detail == 'reset'
 
 
 @pytest.mark.parametrize(
@@ -117,4 +117,4 @@
     request.after(FAILED, 0.0)
     while request.after(second, 0.0) is AGAIN:
         pass
-    assert request.failed is FAILED
+    assert request.failure_answer is FAILED
--- a/testing/test_fairness.py
+++ b/testing/test_fairness.py
@@ -109,5 +109,5 @@
         running = gate.submit(ticket, 0.0).started or running
         if running:
             running = gate.finish(running[0], 0.0).started
-    assert len(gate.shares.served) <= fairness.MAX_CALLERS
+    assert len(gate.shares.virtual_times) <= fairness.MAX_CALLERS
     assert len(gate.shares.running_by_key) <= 1
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -25,7 +25,7 @@
     assert not reads(one, 0.0, following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S)
     first, second, *_ = reads(one, following.FOLLOWER_TIMEOUT_S, 10.0)
     assert second - first >= following.MIN_READ_INTERVAL_S
-    one.heard('fast', 20.0)
+    one.note_follower('fast', 20.0)
     assert not reads(
         one, 20.0, 20.0 + following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S
     )
@@ -43,7 +43,7 @@
     assert not reads(one, 1.0, 9.0)
     one.note_store_state(True, 9.0)
     assert not reads(one, 9.0, 9.0 + HEARTBEAT_S)
-    one.heard('fast', 9.0 + HEARTBEAT_S)
+    one.note_follower('fast', 9.0 + HEARTBEAT_S)
     assert not reads(
         one, 9.0 + HEARTBEAT_S, 9.0 + following.FOLLOWER_TIMEOUT_S
     )
@@ -80,8 +80,8 @@
     """
     slow = following.StoreReadPolicy(5.0, start=0.0)
     slow.note_store_state(True, 0.0)
-    slow.heard('fast', SILENCE_NOTICED_S)
-    slow.lost('fast')
+    slow.note_follower('fast', SILENCE_NOTICED_S)
+    slow.note_follower_lost('fast')
     acknowledged = SILENCE_NOTICED_S - following.HEARTBEAT_S / 2
     checks = [step * following.HEARTBEAT_S for step in range(10)]
     read_at = next(at for at in checks if slow.should_read(at))
@@ -98,8 +98,8 @@
     hosts = [slow() for _ in range(20)]
     for one in hosts:
         one.note_store_state(True, 0.0)
-        one.heard('fast', 10.0)
-        one.lost('fast')
+        one.note_follower('fast', 10.0)
+        one.note_follower_lost('fast')
     read_at = []
     for step in range(5 * 20):
         now = 10.0 + step * HEARTBEAT_S / len(hosts)
@@ -117,20 +117,20 @@
 
 def test_follower_that_loses_the_store_is_replaced_by_another() -> None:
     one = slow()
-    one.heard('first', 5.0)
-    one.heard('second', 5.0)
-    one.lost('first')
+    one.note_follower('first', 5.0)
+    one.note_follower('second', 5.0)
+    one.note_follower_lost('first')
     assert not reads(
         one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S
     )
-    one.lost('second')
+    one.note_follower_lost('second')
     assert one.should_read(5.0 + HEARTBEAT_S)
 
 
 def test_loss_on_a_host_that_never_followed_is_ignored() -> None:
     one = slow()
-    one.heard('fast', 5.0)
-    one.lost('slow')
+    one.note_follower('fast', 5.0)
+    one.note_follower_lost('slow')
     assert not reads(
         one, 5.0, 5.0 + following.FOLLOWER_TIMEOUT_S - HEARTBEAT_S
     )
--- a/testing/test_ownership_machine.py
+++ b/testing/test_ownership_machine.py
@@ -200,8 +200,8 @@
     )
 
 
-def run_again(*arguments: object) -> idempotency.Dispatch:
-    return idempotency.Dispatch.RUN
+def run_again(*arguments: object) -> idempotency.DispatchDecision:
+    return idempotency.DispatchDecision.RUN
 
 
 @pytest.mark.parametrize(
--- a/testing/test_poison.py
+++ b/testing/test_poison.py
@@ -73,7 +73,7 @@
 ) -> None:
     one = poison.PoisonList()
     for target, incident in crashes:
-        one.crashed(NAMES, target, incident, 1.0)
+        one.record_crash(NAMES, target, incident, 1.0)
     assert one.refusal_remaining_s(CALL, at) == pytest.approx(refused_s)
     assert one.refusal_remaining_s(changed(path='/y'), at) == 0
 
@@ -84,16 +84,16 @@
     Two killed targets must not cause that read to be refused for everyone.
     """
     one = poison.PoisonList()
-    one.crashed(NAMES, 'a', '1', 0.0)
-    one.answered(CALL)
-    one.crashed(NAMES, 'b', '1', 1.0)
+    one.record_crash(NAMES, 'a', '1', 0.0)
+    one.record_answer(CALL)
+    one.record_crash(NAMES, 'b', '1', 1.0)
     assert one.refusal_remaining_s(CALL, 1.0) == 0
 
 
 def test_crash_records_are_bounded_and_expire() -> None:
     one = poison.PoisonList()
     for number in range(2 * poison.MAX_SUSPECTS):
-        one.crashed((str(number),), 'a', '1', float(number))
+        one.record_crash((str(number),), 'a', '1', float(number))
     assert len(one.suspects) == poison.MAX_SUSPECTS
     one.forget(1e9)
     assert not one.suspects
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -393,7 +393,7 @@
         monkeypatch.setattr(slow.proxy.adapter.feed, 'renew_lease', refused)
         await conditions.until(lambda: slow.proxy.feed.calls_failing)
         failed = slow.proxy.counts.totals['store.record-failed']
-        following.lost('fast')
+        following.note_follower_lost('fast')
         await conditions.until(
             lambda: slow.proxy.counts.totals['store.record-failed'] > failed
         )
--- a/testing/test_releasesplit.py
+++ b/testing/test_releasesplit.py
@@ -92,7 +92,7 @@
             fleet[randomness.randrange(70)] = fresh
         ingress = randomness.choice(fleet)
         is_new = ingress.spend_canary_credit('bonds', 0.1)
-        ingress.ran('bonds', 'v2' if is_new else 'v1')
+        ingress.record_run('bonds', 'v2' if is_new else 'v1')
         new += is_new
         total += 1
         assert new <= 0.05 * total
@@ -102,9 +102,9 @@
 def test_ingress_without_updates_sends_no_canary_requests() -> None:
     split = releasesplit.ReleaseSplit()
     split.offer(state(share=0.5), 0.0)
-    split.ran('bonds', 'v1')
+    split.record_run('bonds', 'v1')
     assert split.spend_canary_credit('bonds', 1.0)
-    split.ran('bonds', 'v1')
+    split.record_run('bonds', 'v1')
     assert not split.spend_canary_credit(
         'bonds', releasesplit.UPDATE_TIMEOUT_S + 0.1
     )
--- a/testing/test_selection.py
+++ b/testing/test_selection.py
@@ -119,7 +119,7 @@
 ) -> None:
     failing = target('a')
     for _ in range(10):
-        failing.note(True, 0.0)
+        failing.note_outcome(True, 0.0)
     counts = selections([failing, target('b')], randomness)
     assert 0 < counts['a'] < 100
 
@@ -167,9 +167,9 @@
 ) -> None:
     failing = target('a')
     for _ in range(10):
-        failing.note(True, 0.0)
+        failing.note_outcome(True, 0.0)
     for _ in range(40):
-        failing.note(False, 0.0)
+        failing.note_outcome(False, 0.0)
     counts = selections([failing, target('b')], randomness)
     assert counts['a'] > 700
 
@@ -232,7 +232,7 @@
     candidate = target('a')
     candidate.update_state('register', 'i-1', 4, True)
     for _ in range(10):
-        candidate.note(True, 0.0)
+        candidate.note_outcome(True, 0.0)
     candidate.update_state('register', 'i-2', 4, True)
     assert not candidate.failure_rate(0.0)
     assert not candidate.run_by_route
--- a/testing/test_slots_mixed.py
+++ b/testing/test_slots_mixed.py
@@ -279,14 +279,14 @@
     shares.started(slotshare.Precedence(1, False, -1), 0.5, 10.0)
     shares.started(slotshare.Precedence(1, True), 1.0, 10.0)
     shares.started(slotshare.Precedence(8, False), 5.0, 10.0)
-    share = shares.before(precedence, 4, 10.0)
+    share = shares.share_ahead_of(precedence, 4, 10.0)
     assert share == pytest.approx(expected)
 
 
 def test_share_of_more_urgent_work_decays() -> None:
     shares = slotshare.SlotShares()
     shares.started(slotshare.Precedence(0, False), 2.0, 0.0)
-    later = shares.before(slotshare.Precedence(1, False), 4, 3.0)
+    later = shares.share_ahead_of(slotshare.Precedence(1, False), 4, 3.0)
     assert 0.0 < later < 0.03
 
 
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -285,7 +285,7 @@
     one.restart(11.0)
     assert one.expired(18.9) == []
     one.observe(record_of('a', ALIVE, incarnation=3), 19.0)
-    assert one.running == {}
+    assert one.by_host == {}
 
 
 @pytest.mark.parametrize(
@@ -400,10 +400,11 @@
     for _ in hosts[1:]:
         clock.at += 1.0
         ticking = asyncio.ensure_future(probers['a'].tick())
-        while not (probers['a'].pings.waiting or ticking.done()):
+        while not (probers['a'].pings.pending_probes or ticking.done()):
             await asyncio.sleep(0)
         if any(
-            one.subject == 'b' for one in probers['a'].pings.waiting.values()
+            one.subject == 'b'
+            for one in probers['a'].pings.pending_probes.values()
         ):
             clock.at += paused_s
         await ticking
