--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -197,7 +197,7 @@
                 asyncio.ensure_future(self._announce_or_read_config()),
                 asyncio.ensure_future(self._log_counts()),
             ]
-            if not self.versions.following.has_slow_link:
+            if not self.versions.read_policy.has_slow_link:
                 running.append(asyncio.ensure_future(self.feed.watch()))
             try:
                 yield self
@@ -271,7 +271,7 @@
         self.log.state('stage', to='left', in_flight=self._in_flight())
 
     def _in_flight(self) -> int:
-        return self.requests.busy + self.guard.in_flight
+        return self.requests.busy_count + self.guard.in_flight
 
     def _apply_config(self, config: mesh.MeshConfig) -> None:
         self.forwarder.config = config
@@ -390,7 +390,7 @@
         await asyncio.sleep(following.HEARTBEAT_S * self.randomness.random())
         while not tasks.cancelled():
             await asyncio.sleep(following.HEARTBEAT_S)
-            if self.versions.following.has_slow_link:
+            if self.versions.read_policy.has_slow_link:
                 await self.feed.read_if_due()
             else:
                 self.versions.announce_following()
--- a/src/peridotpost/mesh/storefeed.py
+++ b/src/peridotpost/mesh/storefeed.py
@@ -144,7 +144,7 @@
     @property
     def reachable(self) -> bool | None:
         """Whether the store answers; None before the first call."""
-        return self.versions.following.store_reachable
+        return self.versions.read_policy.store_reachable
 
     async def watch(self) -> None:
         """Follow the configuration in the store until cancelled."""
@@ -259,7 +259,7 @@
 
     async def read_if_due(self) -> None:
         """Read the configuration if no host announces that it follows it."""
-        if not self.versions.following.should_read(deadlines.now()):
+        if not self.versions.read_policy.should_read(deadlines.now()):
             return
         self.counts.add('config.read')
         self.versions.announce_reading()
@@ -301,7 +301,7 @@
 
     @property
     def _max_retry_s(self) -> float:
-        slow = self.versions.following.has_slow_link
+        slow = self.versions.read_policy.has_slow_link
         return MAX_SLOW_LINK_RETRY_PAUSE_S if slow else MAX_RETRY_PAUSE_S
 
     def _handle_followed_again(self, host: str) -> None:
@@ -372,7 +372,7 @@
 
     def _set_reachable_by_poll(self, reachable: bool, error: str) -> None:
         """Derive the store's state from the polls if there is no watch."""
-        if self.versions.following.has_slow_link:
+        if self.versions.read_policy.has_slow_link:
             self._set_reachable(reachable, error)
 
     def _handle_records(self, records: Sequence[instances.HostRecord]) -> None:
--- a/src/peridotpost/mesh/versions.py
+++ b/src/peridotpost/mesh/versions.py
@@ -24,7 +24,7 @@
 FETCH_DELAY_S = 0.3
 """Time for a version that a peer announced to arrive from the store.  With a
 shorter delay each version would be fetched twice."""
-OTHER_ZONE_FETCH_DELAY_S = 0.7
+REMOTE_ZONE_FETCH_DELAY_S = 0.7
 """The same if the peer is in a remote zone: the own zone is asked first."""
 REMOTE_ZONE_FIRST_FETCH_DELAY_S = 0.1
 """How long a daemon without a configuration waits for its own zone before it
@@ -66,7 +66,7 @@
         self.log = log
         self.current: mesh.MeshConfig | None = None
         self.current_raw = b''
-        self.following = read_policy
+        self.read_policy = read_policy
         self.raw_by_version: dict[int, bytes] = {}
         self.frames_by_base: dict[int, frames.Config | frames.ConfigDelta] = {}
         self.applied_at = deadlines.now()
@@ -135,15 +135,15 @@
 
     def announce_following(self) -> None:
         """Tell peers with slow links that this daemon follows the store."""
-        if self.following.follows_store and self.version:
+        if self.read_policy.follows_store and self.version:
             self.directory.broadcast_to_zone(
                 self._version_frame(), slow_only=True
             )
 
     def note_store_state(self, reachable: bool) -> None:
         """Record whether the store answers; announce it to peers if not."""
-        followed = self.following.follows_store
-        self.following.note_store_state(reachable, deadlines.now())
+        followed = self.read_policy.follows_store
+        self.read_policy.note_store_state(reachable, deadlines.now())
         if followed and not reachable:
             self.directory.broadcast_to_zone(
                 self._version_frame(), slow_only=True
@@ -158,8 +158,8 @@
     def _version_frame(self) -> frames.Version:
         follows = (
             None
-            if self.following.has_slow_link
-            else self.following.follows_store
+            if self.read_policy.has_slow_link
+            else self.read_policy.follows_store
         )
         return frames.Version(self.version, follows)
 
@@ -168,12 +168,12 @@
     ) -> None:
         remote_zone = self.directory.is_remote_zone(stream.zone)
         if frame.following and stream.slow and not remote_zone:
-            self.following.note_peer_read(deadlines.now())
+            self.read_policy.note_peer_read(deadlines.now())
         elif frame.following and not remote_zone:
-            if self.following.note_follower(stream.host, deadlines.now()):
+            if self.read_policy.note_follower(stream.host, deadlines.now()):
                 self.followed_again.fire(stream.host)
         elif frame.following is False and not remote_zone:
-            self.following.note_follower_lost(stream.host)
+            self.read_policy.note_follower_lost(stream.host)
         if frame.version <= self.version:
             return
         if not self.version:
@@ -181,13 +181,13 @@
             return
         if (
             frame.following
-            and self.following.has_slow_link
+            and self.read_policy.has_slow_link
             and not remote_zone
         ):
             self._fetch(stream, frame.version)
             return
         loop = asyncio.get_running_loop()
-        pause_s = OTHER_ZONE_FETCH_DELAY_S if remote_zone else FETCH_DELAY_S
+        pause_s = REMOTE_ZONE_FETCH_DELAY_S if remote_zone else FETCH_DELAY_S
         loop.call_later(pause_s, self._fetch, stream, frame.version)
 
     def _schedule_first_fetch(
--- a/src/peridotpost/proxy/listener.py
+++ b/src/peridotpost/proxy/listener.py
@@ -200,7 +200,7 @@
         self.server: asyncio.Server | None = None
 
     @property
-    def busy(self) -> int:
+    def busy_count(self) -> int:
         """Number of connections with a request in progress."""
         return sum(connection.busy for connection in self.connections)
 
--- a/testing/test_proxy_leaving.py
+++ b/testing/test_proxy_leaving.py
@@ -213,7 +213,7 @@
     monkeypatch.setattr('peridotpost.mesh.daemon.LISTEN_STOP_DELAY_S', 0.0)
     async with proxies.pair() as (_, first, _second):
         held = asyncio.ensure_future(first.ask('/read/hold'))
-        await conditions.until(lambda: first.proxy.requests.busy == 1)
+        await conditions.until(lambda: first.proxy.requests.busy_count == 1)
         async with first.caller() as idle:
             assert (await idle.ask('/read/ok')).status == 200
             leaving = asyncio.ensure_future(first.proxy.leave())
--- a/testing/test_proxy_store.py
+++ b/testing/test_proxy_store.py
@@ -201,7 +201,7 @@
         'peridotpost.decisions.following.FOLLOWER_TIMEOUT_S', 3600.0
     )
     monkeypatch.setattr(
-        'peridotpost.mesh.versions.OTHER_ZONE_FETCH_DELAY_S', 3600.0
+        'peridotpost.mesh.versions.REMOTE_ZONE_FETCH_DELAY_S', 3600.0
     )
     async with proxies.running() as mesh:
         await mesh.kv.configure(proxies.config(1))
@@ -238,7 +238,7 @@
         await mesh.kv.configure(proxies.config(1))
         fast = await mesh.add('fast')
         slow = await mesh.add('slow', link_mbps=5.0)
-        heard = slow.proxy.versions.following.last_heard_by_host
+        heard = slow.proxy.versions.read_policy.last_heard_by_host
         await conditions.until(lambda: 'fast' in heard)
         fast.proxy.versions.note_store_state(False)
         await conditions.until(lambda: 'fast' not in heard)
@@ -258,7 +258,7 @@
 
 
 def _knows_of_a_peers_read(host: proxies.Host) -> bool:
-    return host.proxy.versions.following.peer_read_at > 0
+    return host.proxy.versions.read_policy.peer_read_at > 0
 
 
 def _has(hosts: list[proxies.Host], version: int) -> bool:
@@ -384,7 +384,7 @@
         await mesh.kv.configure(proxies.config(1))
         await mesh.add('fast')
         slow = await mesh.add('slow', link_mbps=5.0)
-        following = slow.proxy.versions.following
+        following = slow.proxy.versions.read_policy
         await conditions.until(lambda: 'fast' in following.last_heard_by_host)
 
         async def refused(lease: int) -> bool:
