--- a/src/peridotpost/mesh/daemon.py
+++ b/src/peridotpost/mesh/daemon.py
@@ -120,7 +120,7 @@
         read_policy = following.StoreReadPolicy(
             settings.link_mbps, deadlines.now()
         )
-        self.directory.slow = read_policy.has_slow_link
+        self.directory.has_slow_link = read_policy.has_slow_link
         self.versions = version_feed.Versions(
             self.adapter.decode,
             self._apply_config,
@@ -225,7 +225,9 @@
         )
         age = deadlines.now() - self.versions.applied_at
         yield gauge('config_age_seconds', 'Time since it came', age)
-        yield gauge('members', 'Daemons reached', self.directory.members())
+        yield gauge(
+            'members', 'Daemons reached', self.directory.member_count()
+        )
         yield gauge('target_running', 'Requests it runs', queue.running)
         yield gauge('target_waiting', 'Requests queued', len(queue.waiting))
         yield gauge('target_run_seconds', 'Mean time of a run', mean_s)
@@ -298,7 +300,7 @@
             return
         if isinstance(call, adapters.Departure):
             born_ms = call.born_ms or time.time_ns() // 1_000_000
-            self.guard.left(call.instance, born_ms)
+            self.guard.handle_departure(call.instance, born_ms)
         else:
             self.guard.accept_announcement(call)
         head = b'Content-Type: application/json\r\n'
@@ -407,14 +409,14 @@
             peerqueries.PeerCandidate(
                 host,
                 self.directory.is_remote_zone(streams[host].zone),
-                stream.asked,
+                stream.hosts_requested,
             )
             for host, stream in streams.items()
             if host
         ]
         self.randomness.shuffle(candidates)
         for host in peerqueries.peers_to_ask(candidates):
-            streams[host].asked = True
+            streams[host].hosts_requested = True
             streams[host].send(frames.Known([]))
 
     async def _sweep_ports(self) -> None:
--- a/src/peridotpost/mesh/directory.py
+++ b/src/peridotpost/mesh/directory.py
@@ -50,7 +50,7 @@
     dialling: asyncio.Task[None] | None = None
     next_dial_at: float = 0.0
     dial_pause_s: float = MIN_DIAL_PAUSE_S
-    recorded: bool = False
+    has_record: bool = False
     status_known: bool = False
     record_missing_since: float = 0.0
 
@@ -80,9 +80,9 @@
         self.counts = counts
         self.log = log
         self.peers: dict[str, Peer] = {}
-        self.accepted: set[peers.PeerStream] = set()
+        self.accepted_streams: set[peers.PeerStream] = set()
         self.version = 0
-        self.slow = False
+        self.has_slow_link = False
         self.leaving = False
         self.frame_received: hooks.Hook[ReceivedFrame] = hooks.Hook('notice')
         self.stream_greeted: hooks.Hook[peers.PeerStream] = hooks.Hook('met')
@@ -92,7 +92,7 @@
         self.latest_by_address = {_address_of(own): own}
         self.closed = False
         guard.target_count = self.service_target_count
-        guard.changed.subscribe(self._own_target_changed)
+        guard.status_changed.subscribe(self._own_target_changed)
 
     # Queries of the ingress.
 
@@ -152,7 +152,7 @@
     def retry_share(self) -> float:
         return self.guard.retry_share()
 
-    def running(self, attempt_id: bytes) -> forwarding.Order | None:
+    def running_order(self, attempt_id: bytes) -> forwarding.Order | None:
         return self.guard.running_by_attempt.get(attempt_id)
 
     def service_target_count(self) -> int:
@@ -164,26 +164,26 @@
         )
         return 1 + others
 
-    def members(self) -> int:
+    def member_count(self) -> int:
         """Return the number of connected daemons, including this one."""
         live = sum(peer.stream is not None for peer in self.peers.values())
         return 1 + live
 
     # Host records.
 
-    def recorded(self, records: Iterable[instances.HostRecord]) -> None:
+    def update_records(self, records: Iterable[instances.HostRecord]) -> None:
         """Update the peers from the complete list of records."""
         recorded_hosts = {entry.host for entry in records}
         now = deadlines.now()
         for host, peer in self.peers.items():
-            if host not in recorded_hosts and peer.recorded:
-                peer.recorded = False
+            if host not in recorded_hosts and peer.has_record:
+                peer.has_record = False
                 peer.record_missing_since = now
         for record in records:
-            self.add_record(record, recorded=True)
+            self.add_record(record, from_store=True)
 
     def add_record(
-        self, record: instances.HostRecord, recorded: bool = False
+        self, record: instances.HostRecord, from_store: bool = False
     ) -> None:
         """Add or update a daemon's record.
 
@@ -211,12 +211,12 @@
                 # A host that lost power never closes the old stream; a
                 # newer incarnation shows that the stream is dead.
                 peer.stream.close()
-        if recorded and record.incarnation >= peer.record.incarnation:
-            peer.recorded = True
+        if from_store and record.incarnation >= peer.record.incarnation:
+            peer.has_record = True
         if peer.stream is None:
             self._dial_if_due(peer, deadlines.now())
 
-    def hosts(self) -> list[frames.Hello]:
+    def known_hosts(self) -> list[frames.Hello]:
         """Return the other known daemons, for a `Known` frame."""
         return [
             _hello_from(peer.record, 0)
@@ -240,13 +240,15 @@
     def hello(self, compressed: bool) -> frames.Hello:
         hello = _hello_from(self.own_record, self.version)
         hello.compressed = compressed
-        hello.slow = self.slow
+        hello.has_slow_link = self.has_slow_link
         return hello
 
     def is_remote_zone(self, availability_zone: str) -> bool:
         return availability_zone != self.own_record.availability_zone
 
-    def met(self, stream: peers.PeerStream, hello: frames.Hello) -> None:
+    def handle_hello(
+        self, stream: peers.PeerStream, hello: frames.Hello
+    ) -> None:
         if stream.dialled:
             peer = self.peers.get(hello.host)
             if peer is None or peer.stream is not stream:
@@ -258,7 +260,7 @@
                 self._note_address(peer.record)
         if not stream.dialled:
             self._replace_older(stream, hello.host)
-            self.accepted.add(stream)
+            self.accepted_streams.add(stream)
             stream.send(self._own_status())
             self.add_record(_record_from(hello))
         self.stream_greeted.fire(stream)
@@ -271,7 +273,9 @@
         over an address is still dialled under the name of its predecessor.
         The peer closes such a stream when it receives the hello.
         """
-        for older in [known for known in self.accepted if known.host == host]:
+        for older in [
+            known for known in self.accepted_streams if known.host == host
+        ]:
             if older.incarnation != stream.incarnation:
                 older.close()
             else:
@@ -279,7 +283,9 @@
                     REPLACED_STREAM_GRACE_S, _close_replaced, older, stream
                 )
 
-    def notice(self, stream: peers.PeerStream, frame: frames.Frame) -> None:
+    def handle_frame(
+        self, stream: peers.PeerStream, frame: frames.Frame
+    ) -> None:
         if isinstance(frame, frames.Status):
             self._update_peer_status(stream, frame)
         elif isinstance(frame, frames.Known):
@@ -288,7 +294,7 @@
             self.frame_received.fire(ReceivedFrame(stream, frame))
 
     def stream_lost(self, stream: peers.PeerStream) -> None:
-        self.accepted.discard(stream)
+        self.accepted_streams.discard(stream)
         if not stream.dialled:
             return
         for peer in self.peers.values():
@@ -300,7 +306,7 @@
 
     def broadcast(self, frame: frames.Frame) -> None:
         """Send a frame to every daemon that has a stream to this one."""
-        for stream in self.accepted:
+        for stream in self.accepted_streams:
             stream.send(frame)
 
     def broadcast_to_zone(
@@ -310,14 +316,17 @@
 
         :param slow_only: only to daemons with a slow link.
         """
-        for stream in self.accepted:
-            if self.is_remote_zone(stream.zone) or slow_only > stream.slow:
+        for stream in self.accepted_streams:
+            if (
+                self.is_remote_zone(stream.zone)
+                or slow_only > stream.has_slow_link
+            ):
                 continue
             stream.send(frame)
 
     def streams(self) -> list[peers.PeerStream]:
         """Return all streams, whichever side opened them."""
-        streams = list(self.accepted)
+        streams = list(self.accepted_streams)
         streams += [peer.stream for peer in self.peers.values() if peer.stream]
         return streams
 
@@ -328,7 +337,7 @@
             if peer.stream is not None:
                 peer.stream.check_liveness(now)
                 continue
-            gone = not peer.recorded and (
+            gone = not peer.has_record and (
                 now - peer.record_missing_since > FORGET_AFTER_S
             )
             if gone:
@@ -419,7 +428,7 @@
         self, stream: peers.PeerStream, frame: frames.Known
     ) -> None:
         if not frame.hosts:
-            stream.send(frames.Known([self.hello(False), *self.hosts()]))
+            stream.send(frames.Known([self.hello(False), *self.known_hosts()]))
             return
         for hello in frame.hosts:
             self.add_record(_record_from(hello))
--- a/src/peridotpost/mesh/releasecoordinator.py
+++ b/src/peridotpost/mesh/releasecoordinator.py
@@ -108,7 +108,7 @@
         # When the order was given, as far as known to this daemon.
         self.ordered_at = deadlines.now()
         self.epoch = 0
-        self.number = 0
+        self.update_number = 0
         self.renewed_at = 0.0
         self.completing = False
         self.rejected_versions = fleet.split.versions_to_reject(order)
@@ -307,11 +307,11 @@
     def _announce(
         self, stage: release.Stage, share: float, canary_host: str
     ) -> None:
-        self.number += 1
+        self.update_number += 1
         state = release.ReleaseState(
             order=self.order,
             epoch=self.epoch,
-            number=self.number,
+            number=self.update_number,
             stage=stage,
             share=share,
             canary_host=canary_host,
--- a/src/peridotpost/mesh/releases.py
+++ b/src/peridotpost/mesh/releases.py
@@ -65,8 +65,10 @@
         self.reports = {}
         directory.frame_received.subscribe(self._handle_frame)
         directory.stream_greeted.subscribe(self._send_known_releases)
-        guard.changed.subscribe(lambda status: self._apply_to_own_target())
-        feed.ordered.subscribe(self._handle_order)
+        guard.status_changed.subscribe(
+            lambda status: self._apply_to_own_target()
+        )
+        feed.release_ordered.subscribe(self._handle_order)
 
     async def close(self) -> None:
         running = list(self.coordinator_tasks.values())
--- a/src/peridotpost/mesh/storefeed.py
+++ b/src/peridotpost/mesh/storefeed.py
@@ -132,13 +132,15 @@
         self.counts = counts
         self.log = log
         self.lease = 0
-        self.written = False
+        self.record_written = False
         self.record_written_at = 0.0
         self.call_due = asyncio.Event()
         self.store_returned = asyncio.Event()
         self.registered = asyncio.Event()
         self.calls_failing = False
-        self.ordered: hooks.Hook[release.ReleaseOrder] = hooks.Hook('ordered')
+        self.release_ordered: hooks.Hook[release.ReleaseOrder] = hooks.Hook(
+            'ordered'
+        )
         versions.followed_again.subscribe(self._handle_followed_again)
 
     @property
@@ -276,14 +278,14 @@
         for problem in read.order_errors:
             self.log.state('release', to='rejected', error=problem)
         for order in read.orders:
-            self.ordered.fire(order)
+            self.release_ordered.fire(order)
 
     async def keep_record(self) -> None:
         """Keep this host's record in the store until cancelled."""
         pause_s = MIN_RETRY_PAUSE_S
         while not tasks.cancelled():
             try:
-                if self.written and not self.calls_failing:
+                if self.record_written and not self.calls_failing:
                     await self._wait_for_next_call(
                         RENEW_INTERVAL_S * (0.9 + 0.1 * self._jitter())
                     )
@@ -311,14 +313,14 @@
 
     async def _renew_or_register(self) -> None:
         """Renew the record's lease, or write the record if it is missing."""
-        if self.written:
+        if self.record_written:
             if not await self.feed.renew_lease(self.lease):
                 self._handle_lapsed_lease()
             return
         if not self.lease:
             self.lease = await self.feed.grant_lease(LEASE_TTL_S)
         await self.feed.register(self.own_record, self.lease)
-        self.written = True
+        self.record_written = True
         self.record_written_at = deadlines.now()
         self.registered.set()
         self.log.state('record', to='written', lease=self.lease)
@@ -326,7 +328,7 @@
     def _handle_lapsed_lease(self) -> None:
         self.log.state('record', to='lapsed', lease=self.lease)
         self.lease = 0
-        self.written = False
+        self.record_written = False
 
     def _probe_store(self) -> None:
         """Renew the lease at once, to find out whether the store answers.
@@ -339,7 +341,7 @@
 
     def rewrite_record(self) -> None:
         """Write this host's record again at once; the store dropped it."""
-        self.written = False
+        self.record_written = False
         self.call_due.set()
 
     async def withdraw(self) -> None:
@@ -376,7 +378,7 @@
             self._set_reachable(reachable, error)
 
     def _handle_records(self, records: Sequence[instances.HostRecord]) -> None:
-        self.directory.recorded(records)
+        self.directory.update_records(records)
         own = {record.host: record for record in records}.get(
             self.own_record.host
         )
@@ -386,7 +388,7 @@
         # a late write of an earlier process.  A stale read can't contain a
         # record that was just written.
         if (
-            self.written
+            self.record_written
             and deadlines.now() - self.record_written_at > MIN_OWN_RECORD_AGE_S
         ):
             self.rewrite_record()
--- a/src/peridotpost/mesh/versions.py
+++ b/src/peridotpost/mesh/versions.py
@@ -167,7 +167,7 @@
         self, frame: frames.Version, stream: peers.PeerStream
     ) -> None:
         remote_zone = self.directory.is_remote_zone(stream.zone)
-        if frame.following and stream.slow and not remote_zone:
+        if frame.following and stream.has_slow_link and not remote_zone:
             self.read_policy.note_peer_read(deadlines.now())
         elif frame.following and not remote_zone:
             if self.read_policy.note_follower(stream.host, deadlines.now()):
--- a/src/peridotpost/platform/store.py
+++ b/src/peridotpost/platform/store.py
@@ -72,13 +72,13 @@
     """Implements ``storefeed.Feed``."""
 
     def __init__(self, address: str, port: int) -> None:
-        self.peer = f'{address}:{port}'
+        self.address = f'{address}:{port}'
         # A separate client, as a pending watch would block lease renewals.
-        self.watching = client.HttpClient(address, port, CONNECT_TIMEOUT_S)
+        self.watch_client = client.HttpClient(address, port, CONNECT_TIMEOUT_S)
         self.call_client = client.HttpClient(address, port, CONNECT_TIMEOUT_S)
 
     def close(self) -> None:
-        self.watching.close()
+        self.watch_client.close()
         self.call_client.close()
 
     async def read_config(self) -> storefeed.ConfigRead:
@@ -94,13 +94,13 @@
         target = f'/-/kv-watch?{parse.urlencode(query)}'.encode()
         timeout_s = WATCH_WAIT_MS / MS_IN_S + WATCH_TIMEOUT_MARGIN_S
         response = await self._call(
-            self.watching, b'GET', target, b'', timeout_s
+            self.watch_client, b'GET', target, b'', timeout_s
         )
         if response.status == 410:
             raise errors.StoreCompacted(
                 'revision has been compacted; read again',
                 step='watch',
-                peer=self.peer,
+                peer=self.address,
             )
         if response.status != 200:
             raise self._status_error('kv-watch', response)
@@ -123,7 +123,9 @@
         )
         if response.status == 404:
             raise errors.LeaseExpired(
-                'lease has ended; take a new one', step='txn', peer=self.peer
+                'lease has ended; take a new one',
+                step='txn',
+                peer=self.address,
             )
         if response.status != 200:
             raise self._status_error('kv-txn', response)
@@ -167,7 +169,9 @@
             return None
         if response.status == 404:
             raise errors.LeaseExpired(
-                'lease has ended; take a new one', step='txn', peer=self.peer
+                'lease has ended; take a new one',
+                step='txn',
+                peer=self.address,
             )
         if response.status != 200:
             raise self._status_error('kv-txn', response)
@@ -253,7 +257,7 @@
             raise errors.StoreUnavailable(
                 str(error) or 'no answer in time',
                 step=target.partition(b'?')[0].decode(),
-                peer=self.peer,
+                peer=self.address,
             ) from error
 
     def _status_error(
@@ -262,7 +266,7 @@
         kind = errors.StoreRefused
         if response.status == 429:
             kind = errors.StoreOverloaded
-        return kind(f'status {response.status}', step=call, peer=self.peer)
+        return kind(f'status {response.status}', step=call, peer=self.address)
 
 
 def _write_entry(key: str, value: bytes, lease: int = 0) -> dict[str, Any]:
--- a/src/peridotpost/proxy/deadlines.py
+++ b/src/peridotpost/proxy/deadlines.py
@@ -32,8 +32,10 @@
     """
 
     def __init__(self) -> None:
-        self.slots: dict[int, dict[object, Callable[[], None]]] = {}
-        self.order: list[int] = []
+        self.callbacks_by_slot: dict[
+            int, dict[object, Callable[[], None]]
+        ] = {}
+        self.slot_heap: list[int] = []
         self.handle: asyncio.TimerHandle | None = None
         self.armed_slot = 0
 
@@ -42,18 +44,18 @@
     ) -> int:
         """Register `key` and return its time slot, to pass to `discard`."""
         slot = int(deadline / SLOT_S) + 1
-        callbacks = self.slots.get(slot)
+        callbacks = self.callbacks_by_slot.get(slot)
         if callbacks is not None:
             callbacks[key] = on_expiry
             return slot
-        self.slots[slot] = {key: on_expiry}
-        heapq.heappush(self.order, slot)
+        self.callbacks_by_slot[slot] = {key: on_expiry}
+        heapq.heappush(self.slot_heap, slot)
         if self.handle is None or slot < self.armed_slot:
             self._arm()
         return slot
 
     def discard(self, slot: int, key: object) -> None:
-        callbacks = self.slots.get(slot)
+        callbacks = self.callbacks_by_slot.get(slot)
         if callbacks is not None:
             callbacks.pop(key, None)
 
@@ -65,11 +67,11 @@
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
-        while self.order and not self.slots[self.order[0]]:
-            del self.slots[heapq.heappop(self.order)]
-        if not self.order:
+        while self.slot_heap and not self.callbacks_by_slot[self.slot_heap[0]]:
+            del self.callbacks_by_slot[heapq.heappop(self.slot_heap)]
+        if not self.slot_heap:
             return
-        self.armed_slot = self.order[0]
+        self.armed_slot = self.slot_heap[0]
         delay = max(0.0, self.armed_slot * SLOT_S - now())
         loop = asyncio.get_running_loop()
         self.handle = loop.call_later(delay, self._expire_due)
@@ -77,8 +79,10 @@
     def _expire_due(self) -> None:
         self.handle = None
         current_slot = int(now() / SLOT_S)
-        while self.order and self.order[0] <= current_slot:
-            callbacks = self.slots.pop(heapq.heappop(self.order))
+        while self.slot_heap and self.slot_heap[0] <= current_slot:
+            callbacks = self.callbacks_by_slot.pop(
+                heapq.heappop(self.slot_heap)
+            )
             for on_expiry in callbacks.values():
                 on_expiry()
         self._arm()
--- a/src/peridotpost/proxy/exchange.py
+++ b/src/peridotpost/proxy/exchange.py
@@ -57,12 +57,12 @@
         'attempts',
         'order',
         'candidate',
-        'slot',
-        'over',
-        'last_asked',
+        'deadline_slot',
+        'finished',
+        'last_resort_asked',
         'retry_after_s',
-        'first_at',
-        'patient_until',
+        'first_attempt_at',
+        'caller_deadline',
         'parent',
         'new_version',
     )
@@ -91,12 +91,12 @@
         self.tried: list[str] = []
         self.order: forwarding.Order | None = None
         self.candidate: targetstate.Candidate | None = None
-        self.slot = 0
-        self.over = False
-        self.last_asked = False
+        self.deadline_slot = 0
+        self.finished = False
+        self.last_resort_asked = False
         self.retry_after_s = NO_TARGET_RETRY_AFTER_S
-        self.first_at = self.started
-        self.patient_until = self.deadline
+        self.first_attempt_at = self.started
+        self.caller_deadline = self.deadline
         self.parent: forwarding.Order | None = None
         self.new_version = False
 
--- a/src/peridotpost/proxy/forwarder.py
+++ b/src/peridotpost/proxy/forwarder.py
@@ -53,7 +53,7 @@
     def retry_share(self) -> float:
         """Return the share of retries among the runs of this host's target."""
 
-    def running(self, attempt_id: bytes) -> forwarding.Order | None:
+    def running_order(self, attempt_id: bytes) -> forwarding.Order | None:
         """Return the order that this host's target runs for an attempt id."""
 
 
@@ -67,12 +67,12 @@
         backends: Backends,
         selector: selection.Selector,
         deadline_timer: deadlines.DeadlineTimer,
-        releases: releasesplit.ReleaseSplit,
+        release_split: releasesplit.ReleaseSplit,
         counts: counters.Counters,
         log: jsonlog.JsonLog,
     ) -> None:
-        self.releases = releases
-        self.names = header_names
+        self.release_split = release_split
+        self.header_names = header_names
         self.backends = backends
         self.selector = selector
         self.deadline_timer = deadline_timer
@@ -106,8 +106,8 @@
                 message, respond, 503, 'no-config', NO_CONFIG_RETRY_AFTER_S
             )
             return None
-        if message.hosts != 1 or message.method == b'HEAD':
-            status = 400 if message.hosts != 1 else 501
+        if message.host_header_count != 1 or message.method == b'HEAD':
+            status = 400 if message.host_header_count != 1 else 501
             self._refuse_unrouted(message, respond, status, 'bad-request')
             return None
         host = message.host.split(b':', 1)[0].decode('latin-1').lower()
@@ -122,11 +122,11 @@
         self._apply_caller_deadline(exchange)
         if first_attempt is not None:
             self.counts.add('requests.returned')
-            exchange.first_at = first_attempt.at
-            exchange.patient_until = first_attempt.until
+            exchange.first_attempt_at = first_attempt.at
+            exchange.caller_deadline = first_attempt.until
             exchange.objective -= exchange.started - first_attempt.at
         exchange.parent = self._parent_run(message)
-        exchange.new_version = self.releases.spend_canary_credit(
+        exchange.new_version = self.release_split.spend_canary_credit(
             service, exchange.started
         )
         exchange.head = bytes(message.head) + self.caller_head
@@ -135,17 +135,17 @@
             exchange.retry_after_s = POISON_RETRY_AFTER_S
             self._refuse(exchange, forwarding.Refusal.POISON)
             return None
-        exchange.slot = self.deadline_timer.add(
+        exchange.deadline_slot = self.deadline_timer.add(
             exchange.deadline,
             exchange,
             lambda: self._deadline_passed(exchange),
         )
         self._dispatch(exchange)
-        return None if exchange.over else exchange
+        return None if exchange.finished else exchange
 
     def abandoned(self, exchange: exchanges.Exchange) -> None:
         """Stop work on a request whose caller disconnected."""
-        if exchange.over:
+        if exchange.finished:
             return
         self._mark_finished(exchange)
         self.counts.add('requests.abandoned')
@@ -171,10 +171,10 @@
 
     def _parent_run(self, message: http1.Message) -> forwarding.Order | None:
         """Return the run on this host's target that made this call."""
-        parent_id = self.names.parent_of(message.attempt_id)
+        parent_id = self.header_names.parent_of(message.attempt_id)
         if not parent_id:
             return None
-        parent = self.backends.running(parent_id)
+        parent = self.backends.running_order(parent_id)
         self.parents_known = self.parents_known or parent is not None
         return parent
 
@@ -192,7 +192,7 @@
             # The route's timeout caps the deadline that the caller asks for.
             remaining_s = int(stated_ms) / 1000
             caller_deadline = exchange.started + remaining_s
-            exchange.patient_until = caller_deadline
+            exchange.caller_deadline = caller_deadline
             exchange.deadline = min(exchange.deadline, caller_deadline)
             exchange.attempts.deadline = exchange.deadline
         exchange.objective = min(exchange.objective, exchange.deadline)
@@ -239,8 +239,12 @@
                 exchange.route.idempotent,
             )
         retry_refused = exchange.attempts.budget_refusals > 0
-        if candidate is None and not exchange.last_asked and not retry_refused:
-            exchange.last_asked = True
+        if (
+            candidate is None
+            and not exchange.last_resort_asked
+            and not retry_refused
+        ):
+            exchange.last_resort_asked = True
             candidate = self.selector.last_resort(candidates, route, now)
         return candidate
 
@@ -252,7 +256,7 @@
         now = deadlines.now()
         candidates = list(self.backends.candidates(service))
         if exchange.new_version:
-            allowed = self.releases.eligible_targets(
+            allowed = self.release_split.eligible_targets(
                 service, candidates, True, now
             )
             if any(
@@ -260,7 +264,9 @@
             ):
                 return allowed
             exchange.new_version = False
-        return self.releases.eligible_targets(service, candidates, False, now)
+        return self.release_split.eligible_targets(
+            service, candidates, False, now
+        )
 
     @staticmethod
     def _is_untried(
@@ -288,7 +294,7 @@
             rank=exchange.rank,
             deadline=exchange.deadline,
             objective=exchange.objective,
-            last=exchange.last_asked,
+            last=exchange.last_resort_asked,
             done=lambda outcome: self._dispatch_ended(
                 exchange, candidate, order, outcome
             ),
@@ -322,7 +328,7 @@
         outcome: forwarding.Outcome,
     ) -> None:
         candidate.outstanding -= 1
-        if exchange.over or exchange.order is not order:
+        if exchange.finished or exchange.order is not order:
             return
         exchange.order = None
         now = deadlines.now()
@@ -346,7 +352,7 @@
     ) -> None:
         """Update the target's health statistics from an outcome."""
         if not isinstance(outcome, forwarding.Refused):
-            self.releases.record_run(exchange.service, candidate.version)
+            self.release_split.record_run(exchange.service, candidate.version)
         if isinstance(outcome, forwarding.Refused):
             if outcome.arrived:
                 # The guard never exceeds the target's slots, so a target that
@@ -422,7 +428,7 @@
         )
 
     def _deadline_passed(self, exchange: exchanges.Exchange) -> None:
-        if exchange.over:
+        if exchange.finished:
             return
         dispatched = exchange.order is not None
         self._mark_finished(exchange)
@@ -467,9 +473,9 @@
             self.backends.withdraw(exchange.candidate.host, order)
 
     def _mark_finished(self, exchange: exchanges.Exchange) -> None:
-        exchange.over = True
+        exchange.finished = True
         self.in_flight -= 1
-        self.deadline_timer.discard(exchange.slot, exchange)
+        self.deadline_timer.discard(exchange.deadline_slot, exchange)
 
     def _report_status(
         self, exchange: exchanges.Exchange, status: int
--- a/src/peridotpost/proxy/frameconversion.py
+++ b/src/peridotpost/proxy/frameconversion.py
@@ -52,7 +52,7 @@
         body=frame.body,
         idempotent=frame.idempotent,
         rank=frame.rank,
-        deadline=now + frame.left_ms / MS_IN_S,
+        deadline=now + frame.remaining_ms / MS_IN_S,
         objective=now + frame.objective_ms / MS_IN_S,
         last=frame.last,
         done=done,
--- a/src/peridotpost/proxy/frames.py
+++ b/src/peridotpost/proxy/frames.py
@@ -39,7 +39,7 @@
     idempotent: bool
     last: bool
     rank: int
-    left_ms: int
+    remaining_ms: int
     objective_ms: int
     retry_cause: int = 0
     inherited_retry_percent: int = 0
@@ -135,7 +135,7 @@
     incarnation: int
     version: int
     compressed: bool = False
-    slow: bool = False
+    has_slow_link: bool = False
 
 
 class Version(msgspec.Struct, array_like=True, tag=8):
--- a/src/peridotpost/proxy/guard.py
+++ b/src/peridotpost/proxy/guard.py
@@ -62,7 +62,7 @@
         counts: counters.Counters,
         log: jsonlog.JsonLog,
     ) -> None:
-        self.names = header_names
+        self.header_names = header_names
         self.deadline_timer = deadline_timer
         self.budget = retry_budget
         self.target_count: Callable[[], int] = lambda: 1
@@ -82,7 +82,9 @@
         self.leaving = False
         self.withheld = False
         self.run_ended: hooks.Hook[RunEnd] = hooks.Hook('run-ended')
-        self.changed: hooks.Hook[instances.TargetStatus] = hooks.Hook('target')
+        self.status_changed: hooks.Hook[instances.TargetStatus] = hooks.Hook(
+            'target'
+        )
         self.instance_header = b''
 
     @property
@@ -124,7 +126,7 @@
             self.failures = failures.FailureRate()
             self.reachability.instance_replaced()
             self.instance_header = (
-                self.names.instance
+                self.header_names.instance
                 + b': '
                 + announcement.instance.encode()
                 + b'\r\n'
@@ -141,7 +143,7 @@
         )
         self._status_changed()
 
-    def left(self, instance: str, born_ms: int) -> None:
+    def handle_departure(self, instance: str, born_ms: int) -> None:
         """Handle a target's notice that it is leaving."""
         if self.instances.leave(instance, born_ms):
             self.log.state('target', instance=instance, to='gone')
@@ -249,7 +251,7 @@
                 self._clear_expiry(order)
                 order.settle(forwarding.Refused(forwarding.Refusal.LEAVING))
             self.idle.close()
-        self.changed.fire(self.status())
+        self.status_changed.fire(self.status())
 
     def _apply_verdict(self, verdict: slot_rules.Decision) -> None:
         for order in verdict.refused:
@@ -358,7 +360,7 @@
         head = b'%s%s%s: %d\r\n' % (
             order.head,
             self.instance_header,
-            self.names.deadline,
+            self.header_names.deadline,
             remaining_ms,
         )
         payload = http1.render_request(
@@ -422,7 +424,7 @@
             return
         if now - self.failing_reported_at >= FAILING_REPORT_INTERVAL_S:
             self.failing_reported_at = now
-            self.changed.fire(self.status())
+            self.status_changed.fire(self.status())
 
     def _connection_released(
         self, connection: upstream.TargetConnection, in_use: bool
@@ -434,7 +436,7 @@
         if self.connecting.pop(order, None) is None:
             return
         self._clear_expiry(order)
-        self.reachability.refused(error)
+        self.reachability.connect_failed(error)
         self._apply_verdict(self.queue.release(order, deadlines.now()))
         order.settle(
             forwarding.Refused(
@@ -453,7 +455,7 @@
         return await upstream.connect(
             current.address,
             current.port,
-            self.names,
+            self.header_names,
             self._connection_released,
         )
 
@@ -467,14 +469,14 @@
         for order in self.queue.drain():
             self._clear_expiry(order)
             order.settle(forwarding.Refused(forwarding.Refusal.UNREACHABLE))
-        self.changed.fire(self.status())
+        self.status_changed.fire(self.status())
 
     def target_up(self) -> None:
         """Announce that the target accepts connections again."""
         current = self.instances.current
         instance = current.instance if current is not None else ''
         self.log.state('target', to='reachable', instance=instance)
-        self.changed.fire(self.status())
+        self.status_changed.fire(self.status())
 
     def _expired(self, order: forwarding.Order) -> None:
         self.expiries.pop(order, None)
--- a/src/peridotpost/proxy/http1.py
+++ b/src/peridotpost/proxy/http1.py
@@ -64,7 +64,7 @@
     keep_alive_s: float | None = None
     expects_continue: bool = False
     framed: bool = False
-    hosts: int = 0
+    host_header_count: int = 0
     nominated_headers: list[bytes] = dataclasses.field(default_factory=list)
     body_chunks: list[bytes] = dataclasses.field(default_factory=list)
     body_size: int = 0
@@ -94,7 +94,7 @@
     def __init__(
         self, header_names: headernames.HeaderNames, sink: MessageSink
     ) -> None:
-        self.names = header_names
+        self.header_names = header_names
         self.sink = sink
         self.max_body_bytes = 1 << 30
         self.max_head_bytes = 1 << 20
@@ -120,7 +120,7 @@
         if message.head_bytes > self.max_head_bytes:
             raise TooLarge
         lower = name.lower()
-        header_names = self.names
+        header_names = self.header_names
         if lower in CONNECTION_HEADERS:
             self._read_connection_header(lower, value)
             return
@@ -132,7 +132,7 @@
             message.attempt_id = value
         elif lower == b'host':
             message.host = value
-            message.hosts += 1
+            message.host_header_count += 1
         elif lower == header_names.signature:
             message.signed = True
         elif lower == header_names.not_run:
--- a/src/peridotpost/proxy/listener.py
+++ b/src/peridotpost/proxy/listener.py
@@ -58,7 +58,7 @@
     def __init__(self, port: 'Port') -> None:
         self.port = port
         self.transport: asyncio.Transport | None = None
-        self.reader = http1.MessageReader(port.names, self)
+        self.reader = http1.MessageReader(port.header_names, self)
         self.reader.max_body_bytes = port.limits.max_body_bytes
         self.reader.max_head_bytes = port.limits.max_header_bytes
         self.parser = http1.request_parser(self.reader)
@@ -192,7 +192,7 @@
     def __init__(
         self, header_names: headernames.HeaderNames, handle: Handler
     ) -> None:
-        self.names = header_names
+        self.header_names = header_names
         self.handle = handle
         self.limits = mesh.CallerLimits()
         self.connections: set[ServerConnection] = set()
--- a/src/peridotpost/proxy/peers.py
+++ b/src/peridotpost/proxy/peers.py
@@ -53,10 +53,10 @@
     def is_remote_zone(self, availability_zone: str) -> bool:
         """Whether a zone is not this host's own, so traffic is expensive."""
 
-    def met(self, stream: 'PeerStream', hello: frames.Hello) -> None:
+    def handle_hello(self, stream: 'PeerStream', hello: frames.Hello) -> None:
         """Handle the peer's `Hello`, which identifies it."""
 
-    def notice(self, stream: 'PeerStream', frame: frames.Frame) -> None:
+    def handle_frame(self, stream: 'PeerStream', frame: frames.Frame) -> None:
         """Handle a frame on configuration, releases, membership or crashes."""
 
     def stream_lost(self, stream: 'PeerStream') -> None:
@@ -84,7 +84,7 @@
         self.guard = guard
         self.dialled = zone is not None
         self.zone = zone or ''
-        self.slow = False
+        self.has_slow_link = False
         self.version = 0
         self.deflater: zlib._Compress | None = None
         self.idle_ping_s = IDLE_PING_S
@@ -94,8 +94,8 @@
         self.flush_scheduled = False
         self.closed = False
         self.dispatch_numbers = itertools.count(1)
-        self.sent: dict[int, forwarding.Order] = {}
-        self.received: dict[int, forwarding.Order] = {}
+        self.sent_orders: dict[int, forwarding.Order] = {}
+        self.received_orders: dict[int, forwarding.Order] = {}
         self.host = ''
         self.incarnation = 0
         self.received_at = deadlines.now()
@@ -103,7 +103,7 @@
         self.pinged_at = 0.0
         self.on_load: Callable[[float, float], None] | None = None
         self.on_run: Callable[[str, float], None] | None = None
-        self.asked = False
+        self.hosts_requested = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -157,9 +157,9 @@
         now = deadlines.now()
         number = next(self.dispatch_numbers)
         order.number = number
-        if not self.sent:
+        if not self.sent_orders:
             self.unanswered_since = now
-        self.sent[number] = order
+        self.sent_orders[number] = order
         self.send(frameconversion.dispatch_frame(number, order, now))
 
     def withdraw(self, order: forwarding.Order) -> None:
@@ -205,11 +205,11 @@
             self._body_wanted(cast(frames.BodyWanted, frame).number)
         elif kind is frames.Body:
             body = cast(frames.Body, frame)
-            awaiting_order = self.received.get(body.number)
+            awaiting_order = self.received_orders.get(body.number)
             if awaiting_order is not None:
                 self.guard.receive_body(awaiting_order, body.body)
         elif kind is frames.Cancel:
-            order = self.received.get(cast(frames.Cancel, frame).number)
+            order = self.received_orders.get(cast(frames.Cancel, frame).number)
             if order is not None:
                 self.guard.cancel(order)
         elif kind is frames.Ping:
@@ -221,42 +221,42 @@
                     self._failing_percent(),
                 )
             )
-            self.owner.notice(self, frames.Version(peer_version))
+            self.owner.handle_frame(self, frames.Version(peer_version))
         elif kind is frames.Pong:
             pong = cast(frames.Pong, frame)
             self._report_load(pong.load, pong.failing)
-            self.owner.notice(self, frames.Version(pong.version))
+            self.owner.handle_frame(self, frames.Version(pong.version))
         elif kind is frames.Hello:
             self._hello_received(cast(frames.Hello, frame))
         else:
-            self.owner.notice(self, frame)
+            self.owner.handle_frame(self, frame)
 
     def _hello_received(self, hello: frames.Hello) -> None:
         self.host = hello.host
         self.incarnation = hello.incarnation
-        self.slow = hello.slow
+        self.has_slow_link = hello.has_slow_link
         self.version = hello.version
         if not self.dialled:
             self.zone = hello.availability_zone
             self._send_hello()
-        self.owner.met(self, hello)
+        self.owner.handle_hello(self, hello)
 
     def _dispatch_received(self, dispatch: frames.Dispatch) -> None:
         now = deadlines.now()
         number = dispatch.number
 
         def done(outcome: forwarding.Outcome) -> None:
-            self.received.pop(number, None)
+            self.received_orders.pop(number, None)
             self._reply(dispatch, outcome)
 
         order = frameconversion.order_from_frame(dispatch, now, done)
         if dispatch.body_deferred:
             order.fetch_body = lambda: self.send(frames.BodyWanted(number))
-        self.received[number] = order
+        self.received_orders[number] = order
         self.guard.submit(order)
 
     def _body_wanted(self, number: int) -> None:
-        order = self.sent.get(number)
+        order = self.sent_orders.get(number)
         if order is not None:
             self.send(frames.Body(number, order.body))
 
@@ -297,12 +297,12 @@
             self.on_load(load / 100, failing / 100)
 
     def _report_run(self, number: int, run_ms: int) -> None:
-        order = self.sent.get(number)
+        order = self.sent_orders.get(number)
         if run_ms and order is not None and self.on_run is not None:
             self.on_run(order.route, run_ms / 1000)
 
     def _settle(self, number: int, outcome: forwarding.Outcome) -> None:
-        order = self.sent.pop(number, None)
+        order = self.sent_orders.pop(number, None)
         if order is not None:
             order.settle(outcome)
 
@@ -315,7 +315,7 @@
         which have no other daemon to use on their connections, would get 502.
         """
         if self.pinged_at:
-            if self.owner.leaving and self.sent:
+            if self.owner.leaving and self.sent_orders:
                 return
             silent_s = now - self.pinged_at
             if silent_s > CLOSE_AFTER_S:
@@ -324,24 +324,24 @@
                 self._reroute_idempotent()
             return
         quiet_since = self.received_at
-        if self.sent:
+        if self.sent_orders:
             quiet_since = max(quiet_since, self.unanswered_since)
-        quiet_limit_s = PING_AFTER_S if self.sent else self.idle_ping_s
+        quiet_limit_s = PING_AFTER_S if self.sent_orders else self.idle_ping_s
         if self.dialled and now - quiet_since > quiet_limit_s:
             self.pinged_at = now
             self.send(frames.Ping(self.owner.version))
 
     def _reroute_idempotent(self) -> None:
-        for number, order in list(self.sent.items()):
+        for number, order in list(self.sent_orders.items()):
             if order.idempotent and order.may_move():
-                del self.sent[number]
+                del self.sent_orders[number]
                 self.send(frames.Cancel(number))
                 order.settle(forwarding.ResponseLost(f'{self.host} is silent'))
 
     @property
     def suspect(self) -> bool:
         """Whether it is closed, or a ping and dispatches are unanswered."""
-        return self.closed or self.pinged_at > 0.0 and bool(self.sent)
+        return self.closed or self.pinged_at > 0.0 and bool(self.sent_orders)
 
     def close(self) -> None:
         if self.transport is not None:
@@ -354,11 +354,11 @@
             return
         self.closed = True
         self.owner.stream_lost(self)
-        for order in list(self.received.values()):
+        for order in list(self.received_orders.values()):
             # The response can no longer be delivered.
             self.guard.cancel(order)
-        sent = list(self.sent.values())
-        self.sent.clear()
+        sent = list(self.sent_orders.values())
+        self.sent_orders.clear()
         for order in sent:
             order.settle(
                 forwarding.ResponseLost(f'stream to {self.host} lost')
--- a/src/peridotpost/proxy/reachability.py
+++ b/src/peridotpost/proxy/reachability.py
@@ -81,7 +81,7 @@
         """Assume that a newly announced instance is reachable."""
         self.down = False
 
-    def refused(self, error: OSError) -> None:
+    def connect_failed(self, error: OSError) -> None:
         """Handle a failed connect, which means a crashed or gone target."""
         now = deadlines.now()
         suspects = tuple(
@@ -121,7 +121,7 @@
         try:
             connection = await self.owner.connect()
         except OSError as error:
-            self.refused(error)
+            self.connect_failed(error)
             if was_down:
                 self._check_later()
             return
--- a/src/peridotpost/proxy/requesthistory.py
+++ b/src/peridotpost/proxy/requesthistory.py
@@ -43,8 +43,8 @@
         attempt = refusedrequests.FirstAttempt(
             exchange.route.name,
             exchange.service,
-            exchange.first_at,
-            exchange.patient_until,
+            exchange.first_attempt_at,
+            exchange.caller_deadline,
         )
         self.refused.refused(_refusal_fingerprint(exchange.message), attempt)
 
--- a/src/peridotpost/proxy/upstream.py
+++ b/src/peridotpost/proxy/upstream.py
@@ -41,10 +41,12 @@
     """
 
     def __init__(
-        self, header_names: headernames.HeaderNames, left: ReleaseCallback
+        self,
+        header_names: headernames.HeaderNames,
+        on_release: ReleaseCallback,
     ) -> None:
-        self.names = header_names
-        self.left = left
+        self.header_names = header_names
+        self.on_release = on_release
         self.order: forwarding.Order | None = None
         self.outcome: forwarding.Outcome | None = None
         self.transport: asyncio.Transport | None = None
@@ -143,7 +145,7 @@
         order = self.order
         self.order = None
         self.closed = True
-        self.left(self, order is not None)
+        self.on_release(self, order is not None)
         if order is not None:
             detail = 'target reset' if exc else 'target closed'
             order.settle(forwarding.ResponseLost(f'{detail} the connection'))
@@ -171,7 +173,7 @@
         if not self.reusable:
             self.close()
         self.idle_since = deadlines.now()
-        self.left(self, False)
+        self.on_release(self, False)
         order.settle(outcome)
 
 
@@ -240,7 +242,7 @@
     address: str,
     port: int,
     header_names: headernames.HeaderNames,
-    left: ReleaseCallback,
+    on_release: ReleaseCallback,
 ) -> TargetConnection:
     """Open a connection to a target.
 
@@ -249,7 +251,7 @@
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
         transport, protocol = await loop.create_connection(
-            lambda: TargetConnection(header_names, left), address, port
+            lambda: TargetConnection(header_names, on_release), address, port
         )
     sock = transport.get_extra_info('socket')
     if sock is not None:
--- a/testing/test_peer_streams.py
+++ b/testing/test_peer_streams.py
@@ -39,12 +39,12 @@
     reads the dispatch and its cancellation together.
     """
     async with proxies.pair() as (_, first, second):
-        (stream,) = first.proxy.directory.accepted
+        (stream,) = first.proxy.directory.accepted_streams
         batch = frames.encode(dispatch(901)) + frames.encode(
             frames.Cancel(901)
         )
         stream.data_received(batch + frames.encode(dispatch(902)))
-        await conditions.until(lambda: not stream.received)
+        await conditions.until(lambda: not stream.received_orders)
         assert first.worker.attempts() == ['d902']
 
 
@@ -117,7 +117,7 @@
             record.port,
             record.incarnation + 1,
         )
-        first.proxy.directory.add_record(newer, recorded=True)
+        first.proxy.directory.add_record(newer, from_store=True)
         await conditions.until(
             lambda: peer.stream is not None and peer.stream is not before
         )
@@ -198,7 +198,7 @@
         newer_record = dataclasses.replace(
             record, incarnation=record.incarnation + newer_by
         )
-        directory.add_record(newer_record, recorded=True)
+        directory.add_record(newer_record, from_store=True)
         assert peer.record == newer_record
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -212,6 +212,8 @@
         assert stream is not None
         await conditions.until(lambda: stream.incarnation > 0)
         peer.record = dataclasses.replace(peer.record, incarnation=1)
-        first.proxy.directory.met(stream, second.proxy.directory.hello(False))
+        first.proxy.directory.handle_hello(
+            stream, second.proxy.directory.hello(False)
+        )
         assert peer.record == second.proxy.own_record
         assert peer.stream is stream
--- a/testing/test_proxy_targets.py
+++ b/testing/test_proxy_targets.py
@@ -313,10 +313,10 @@
         for host in (first, second):
             directory = host.proxy.directory
             dialled = host.proxy.counts.totals['peers.dialled']
-            directory.add_record(gone, recorded=True)
+            directory.add_record(gone, from_store=True)
             directory.sweep()
             assert directory.peers['gone'].dialling is None
-            assert 'gone' not in [one.host for one in directory.hosts()]
+            assert 'gone' not in [one.host for one in directory.known_hosts()]
             assert host.proxy.counts.totals['peers.dialled'] == dialled
 
 
