--- a/bench/framing.py
+++ b/bench/framing.py
@@ -21,7 +21,7 @@
 from bench import fleets
 from bench import json_output
 from bench import stats
-from peridotpost.distribution import dialling
+from peridotpost.distribution import grpcchannels
 from peridotpost.distribution import links
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import server
@@ -100,7 +100,7 @@
     arrived = asyncio.Event()
     child.replica.changed.subscribe(lambda _: arrived.set())
     closing = asyncio.Event()
-    async with dialling.dial(f'127.0.0.1:{port}') as channel:
+    async with grpcchannels.dial(f'127.0.0.1:{port}') as channel:
         call = control_pb2_grpc.ControlStub(channel).Exchange()
         link = links.Link(
             'parent', child.table, child.counts, dialled=True, reports=True
--- a/src/peridotpost/calls/connections.py
+++ b/src/peridotpost/calls/connections.py
@@ -173,7 +173,7 @@
         )
 
 
-def _is_clean(stream: iostream.IOStream) -> bool:
+def _is_reusable(stream: iostream.IOStream) -> bool:
     """Return whether a connection is open and has no unread bytes.
 
     Surplus bytes after an answer would be read as the answer to the next
@@ -260,7 +260,7 @@
                 raise StaleConnection('closed before the answer') from error
             raise AnswerLost(str(error)) from error
         finally:
-            if complete and reader.keep_alive and _is_clean(stream):
+            if complete and reader.keep_alive and _is_reusable(stream):
                 idle = self.idle.setdefault(port, collections.deque())
                 idle.append(IdleConnection(stream, now))
             else:
@@ -301,7 +301,7 @@
         connections = self.idle.get(port)
         while connections:
             newest = connections.pop()
-            if now - newest.idle_since < MAX_IDLE_S and _is_clean(
+            if now - newest.idle_since < MAX_IDLE_S and _is_reusable(
                 newest.stream
             ):
                 self.counts.add('connection.reused')
--- a/src/peridotpost/calls/ledger_handover.py
+++ b/src/peridotpost/calls/ledger_handover.py
@@ -16,7 +16,7 @@
 from peridotpost.kernel import counters
 from peridotpost.model import calls
 
-MAX_BYTES = 32 * 1024 * 1024
+MAX_STORED_BYTES = 32 * 1024 * 1024
 """Total size of the ledgers stored for other hosts."""
 ENTRY_OVERHEAD_BYTES = 200
 """Approximate size of an entry without the body of its answer."""
@@ -71,7 +71,7 @@
         for host, stored in tuple(self.ledgers.items()):
             over_limit = (
                 sum(ledger.size for ledger in self.ledgers.values())
-                > MAX_BYTES
+                > MAX_STORED_BYTES
             )
             if (
                 over_limit
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -41,7 +41,7 @@
         )
         await _read_initial_state(kernel)
         await stack.enter_async_context(
-            uplinks.holding(kernel.find('uplinks', uplinks.UplinkManager))
+            uplinks.running(kernel.find('uplinks', uplinks.UplinkManager))
         )
         member_discovery = discovery.MemberDiscovery(kernel)
         _subscribe_timers(kernel, member_discovery)
--- a/src/peridotpost/distribution/reconcile.py
+++ b/src/peridotpost/distribution/reconcile.py
@@ -10,7 +10,7 @@
 
 import grpc
 
-from peridotpost.distribution import dialling
+from peridotpost.distribution import grpcchannels
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import wire
 from peridotpost.generated import control_pb2
@@ -37,7 +37,7 @@
         self.counts = counts
         self.zone = zone
         self.randomness = randomness
-        self.dial: dialling.Dial = dialling.dial
+        self.dial: grpcchannels.Dial = grpcchannels.dial
 
     def pick_address(self) -> str | None:
         """Return the address of a random live member, mostly of this zone.
--- a/src/peridotpost/distribution/server.py
+++ b/src/peridotpost/distribution/server.py
@@ -11,7 +11,7 @@
 from peridotpost.decisions import pacing
 from peridotpost.decisions import tree
 from peridotpost.decisions import versions
-from peridotpost.distribution import dialling
+from peridotpost.distribution import grpcchannels
 from peridotpost.distribution import links
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import streams
@@ -146,7 +146,7 @@
     :raises errors.PeridotError: the port is already in use.
     """
     server = aio.server(
-        options=(*dialling.CHANNEL_OPTIONS, ('grpc.so_reuseport', 0))
+        options=(*grpcchannels.CHANNEL_OPTIONS, ('grpc.so_reuseport', 0))
     )
     control_pb2_grpc.add_ControlServicer_to_server(servicer, server)
     try:
--- a/src/peridotpost/distribution/uplinks.py
+++ b/src/peridotpost/distribution/uplinks.py
@@ -18,7 +18,7 @@
 
 from peridotpost.decisions import pacing
 from peridotpost.decisions import tree
-from peridotpost.distribution import dialling
+from peridotpost.distribution import grpcchannels
 from peridotpost.distribution import links
 from peridotpost.distribution import replica as replicas
 from peridotpost.distribution import streams
@@ -69,7 +69,7 @@
         self.randomness = randomness
         self.by_name: dict[str, Uplink] = {}
         self.position = tree.TreePosition(False, False, ())
-        self.dial: dialling.Dial = dialling.dial
+        self.dial: grpcchannels.Dial = grpcchannels.dial
         self.ping: links.Ping | None = None
         self.closing = asyncio.Event()
         self.resolve_address: Callable[[str], str | None] = self._address_of
@@ -257,7 +257,7 @@
 
 
 @contextlib.asynccontextmanager
-async def holding(uplinks: UplinkManager) -> AsyncIterator[UplinkManager]:
+async def running(uplinks: UplinkManager) -> AsyncIterator[UplinkManager]:
     uplinks.plan()
     try:
         yield uplinks
--- a/testing/test_ledgers.py
+++ b/testing/test_ledgers.py
@@ -150,7 +150,7 @@
             handover.store(piece, 100)
     assert (
         sum(one.size for one in handover.ledgers.values())
-        <= ledger_handover.MAX_BYTES
+        <= ledger_handover.MAX_STORED_BYTES
     )
     assert 'h39' in handover.ledgers and 'h0' not in handover.ledgers
     handover.store(handover_of('late', 1, 1), 100 + 3_600_001)
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -10,7 +10,7 @@
 import result
 
 from peridotpost.decisions import pacing
-from peridotpost.distribution import dialling
+from peridotpost.distribution import grpcchannels
 from peridotpost.distribution import links
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import replica as replicas
@@ -113,7 +113,7 @@
     child: distribution_harness.Node,
     candidates: tuple[str, ...],
     revision: int = 5,
-    dial: dialling.Dial = dialling.dial,
+    dial: grpcchannels.Dial = grpcchannels.dial,
 ) -> int:
     """Run an uplink to `candidates` until `revision` is received."""
     received = asyncio.Event()
@@ -129,7 +129,7 @@
     )
     ups.bootstrap = candidates
     ups.dial = dial
-    async with uplinks.holding(ups):
+    async with uplinks.running(ups):
         await asyncio.wait_for(received.wait(), 30)
     return child.replica.version.revision
 
@@ -162,7 +162,7 @@
 
     @contextlib.asynccontextmanager
     async def dial(address: str) -> AsyncIterator[aio.Channel]:
-        async with dialling.dial(address) as channel:
+        async with grpcchannels.dial(address) as channel:
 
             def in_force(change: replicas.FactChange) -> None:
                 if not closing:
@@ -276,7 +276,7 @@
         distribution_harness.member(f'host-{number}') for number in range(60)
     )
     child.add_records([distribution_harness.member('child')])
-    async with uplinks.holding(ups):
+    async with uplinks.running(ups):
         await asyncio.sleep(0)
         before = ups.by_name['parent']
         parent = before.candidates[0]
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -382,7 +382,9 @@
             # The close and the second answer arrive after the first answer.
             await conditions.until(
                 lambda: (
-                    not any(connections._is_clean(one.stream) for one in idle)
+                    not any(
+                        connections._is_reusable(one.stream) for one in idle
+                    )
                 ),
                 'the connection is known to be dirty',
             )
--- a/testing/zones.py
+++ b/testing/zones.py
@@ -16,7 +16,7 @@
 from peridotpost.border import settings as settings_border
 from peridotpost.daemon import assembly
 from peridotpost.daemon import control
-from peridotpost.distribution import dialling
+from peridotpost.distribution import grpcchannels
 from peridotpost.distribution import links
 from peridotpost.distribution import reconcile
 from peridotpost.distribution import replica as replicas
@@ -121,7 +121,7 @@
 
     def dial_from(
         self, zone: str, partitions: set[frozenset[str]]
-    ) -> dialling.Dial:
+    ) -> grpcchannels.Dial:
         @contextlib.asynccontextmanager
         async def dial(address: str) -> AsyncIterator[aio.Channel]:
             pair = frozenset({zone, self.zone_by_address[address]})
@@ -129,7 +129,7 @@
                 raise errors.PeridotError(
                     'partitioned by the test', step='test.dial', peer=address
                 )
-            async with dialling.dial(address) as channel:
+            async with grpcchannels.dial(address) as channel:
                 entry = (pair, channel)
                 self.channels.append(entry)
                 try:
