--- a/bench/framing.py
+++ b/bench/framing.py
@@ -103,7 +103,11 @@
     async with grpcchannels.dial(f'127.0.0.1:{port}') as channel:
         call = control_pb2_grpc.ControlStub(channel).Exchange()
         link = links.Link(
-            'parent', child.table, child.counts, dialled=True, reports=True
+            'parent',
+            child.table,
+            child.counts,
+            dialled=True,
+            reports_progress=True,
         )
         await call.write(control_pb2.Frame(hello=links.hello_message(link)))
         link.handle_frame(await call.read())
@@ -154,7 +158,7 @@
     )
     before = dataclasses.replace(traffic)
     for _ in range(RECONCILIATIONS):
-        assert await reconciler.ask(f'127.0.0.1:{port}')
+        assert await reconciler.fetch_facts(f'127.0.0.1:{port}')
     await asyncio.sleep(0.5)
     difference = _subtract(traffic, before)
     totals = node.counts.totals
--- a/src/peridotpost/calls/connections.py
+++ b/src/peridotpost/calls/connections.py
@@ -266,7 +266,7 @@
             else:
                 stream.close()
 
-    async def refuses(self, port: int) -> bool:
+    async def target_has_exited(self, port: int) -> bool:
         """Return whether the process at `port` has exited or is exiting.
 
         A new connection that is closed immediately was pending at a process
--- a/src/peridotpost/calls/guard.py
+++ b/src/peridotpost/calls/guard.py
@@ -204,7 +204,7 @@
             )
         except connections.AnswerLost as error:
             self.counts.add('guard.answer-lost')
-            if await self.pool.refuses(target.port):
+            if await self.pool.target_has_exited(target.port):
                 return self._target_crashed(call, target)
             return self._unknown(f'{target.name!r}: {error}')
         except TimeoutError:
--- a/src/peridotpost/calls/router.py
+++ b/src/peridotpost/calls/router.py
@@ -65,10 +65,10 @@
     async def route(self, call: calls.Call) -> calls.Outcome:
         """Send `call` to a target and return its final outcome."""
         if call.idempotent or self.keyed is None:
-            return await self.carry(call)
+            return await self.dispatch(call)
         return await self.keyed.route(call)
 
-    async def carry(
+    async def dispatch(
         self, call: calls.Call, previous_attempts: int = 0
     ) -> calls.Outcome:
         """Send `call` to one target after another until an outcome is final.
--- a/src/peridotpost/daemon/calls.py
+++ b/src/peridotpost/daemon/calls.py
@@ -164,7 +164,7 @@
     owner = owners.Owner(
         replica,
         settings.availability_zone,
-        router.carry,
+        router.dispatch,
         streams,
         keeper,
         kernel.find('myself', myself.LocalMember),
--- a/src/peridotpost/daemon/discovery.py
+++ b/src/peridotpost/daemon/discovery.py
@@ -69,4 +69,4 @@
             if (known and known.live) or seed.availability_zone in queried:
                 continue
             queried.add(seed.availability_zone)
-            await self.reconciler.ask(seed.control_address)
+            await self.reconciler.fetch_facts(seed.control_address)
--- a/src/peridotpost/daemon/joining.py
+++ b/src/peridotpost/daemon/joining.py
@@ -143,7 +143,7 @@
     with_version = 0
     for start in range(0, max(1, len(addresses)), group_size):
         group = addresses[start : start + group_size]
-        revisions = await asyncio.gather(*map(reconciler.ask, group))
+        revisions = await asyncio.gather(*map(reconciler.fetch_facts, group))
         with_version += sum(bool(revision) for revision in revisions)
         asked = start + len(group)
         if version_rules.heard_from_enough_peers(
--- a/src/peridotpost/distribution/links.py
+++ b/src/peridotpost/distribution/links.py
@@ -74,7 +74,10 @@
     def report_progress(self) -> None:
         """Report the progress of this subtree to the parent if it changed."""
         for link in self.links:
-            if link.reports and link.reported_progress != self.progress:
+            if (
+                link.reports_progress
+                and link.reported_progress != self.progress
+            ):
                 link.wake.set()
 
     def resend_hello(self) -> None:
@@ -89,7 +92,7 @@
 
     :param dialled: this side opened the stream; the other side sends the
         checksums of its member buckets.
-    :param reports: progress is reported to the peer, which is this
+    :param reports_progress: progress is reported to the peer, which is this
         daemon's parent in the tree or the first relay of its zone.
     """
 
@@ -100,14 +103,14 @@
         counts: counters.Counters,
         *,
         dialled: bool = False,
-        reports: bool = False,
+        reports_progress: bool = False,
     ) -> None:
         self.peer = peer
         self.table = table
         self.replica = table.replica
         self.counts = counts
         self.dialled = dialled
-        self.reports = reports
+        self.reports_progress = reports_progress
         self.interest = config.Interest()
         self.peer_version = config.NO_CONFIG
         self.hello_received = False
@@ -123,7 +126,7 @@
         self.heard_since_heartbeat = True
         self.missed_heartbeats = 0
         self.wake = asyncio.Event()
-        self.over = asyncio.Event()
+        self.ended = asyncio.Event()
 
     def mark_changed(self, change: replicas.FactChange) -> None:
         """Mark a changed fact for sending unless it came from this peer."""
@@ -135,7 +138,7 @@
             self.dirty_config = True
         self.wake.set()
 
-    async def beat(self) -> None:
+    async def check_heartbeat(self) -> None:
         """Probe the peer and end the link after too many missed heartbeats.
 
         This detects a peer that hangs or is partitioned while its
@@ -150,7 +153,7 @@
         self.heard_since_heartbeat = False
         if self.missed_heartbeats >= MAX_MISSED_HEARTBEATS:
             self.counts.add('link.silent')
-            self.over.set()
+            self.ended.set()
 
     def next_frame(self) -> control_pb2.Frame | None:
         """Return the next frame to send; None if there is nothing to send."""
@@ -185,7 +188,7 @@
 
     def _progress_frame(self) -> control_pb2.Frame | None:
         current = self.table.progress
-        if not self.reports or current == self.reported_progress:
+        if not self.reports_progress or current == self.reported_progress:
             return None
         self.reported_progress = current
         return control_pb2.Frame(
--- a/src/peridotpost/distribution/reconcile.py
+++ b/src/peridotpost/distribution/reconcile.py
@@ -68,9 +68,9 @@
     async def tick(self) -> None:
         address = self.pick_address()
         if address is not None:
-            await self.ask(address)
+            await self.fetch_facts(address)
 
-    async def ask(self, address: str) -> int | None:
+    async def fetch_facts(self, address: str) -> int | None:
         """Fetch the facts that are missing here from `address`.
 
         Returns the peer's revision, 0 if it has no version, or None if
--- a/src/peridotpost/distribution/streams.py
+++ b/src/peridotpost/distribution/streams.py
@@ -46,7 +46,7 @@
     heartbeat = None
     if link.ping is not None:
         heartbeat = clock.subscribe(
-            f'beat {link.peer}', HEARTBEAT_S, link.beat
+            f'beat {link.peer}', HEARTBEAT_S, link.check_heartbeat
         )
     running = [
         asyncio.ensure_future(coroutine)
@@ -54,7 +54,7 @@
             _send(link, write),
             _receive(link, read),
             closing.wait(),
-            link.over.wait(),
+            link.ended.wait(),
         )
     ]
     try:
--- a/src/peridotpost/distribution/uplinks.py
+++ b/src/peridotpost/distribution/uplinks.py
@@ -220,7 +220,7 @@
             self.table,
             self.counts,
             dialled=True,
-            reports=name in REPORTING_UPLINKS,
+            reports_progress=name in REPORTING_UPLINKS,
         )
         link.ping = self.ping
         async with self.dial(address) as channel:
--- a/testing/callpath.py
+++ b/testing/callpath.py
@@ -102,7 +102,7 @@
         return idempotency.generate_key(1, self.randomness).text
 
     async def route(self, call: calls.Call) -> calls.Outcome:
-        return await self.router.carry(call)
+        return await self.router.dispatch(call)
 
 
 @contextlib.asynccontextmanager
--- a/testing/distribution_harness.py
+++ b/testing/distribution_harness.py
@@ -146,7 +146,7 @@
                 child.table,
                 child.counts,
                 dialled=True,
-                reports=reports,
+                reports_progress=reports,
             ),
             links.Link(child.host, parent.table, parent.counts),
         )
--- a/testing/test_bench_bounds.py
+++ b/testing/test_bench_bounds.py
@@ -204,7 +204,7 @@
         local.replica, local.counts, 'zone-00', random.Random(1)
     )
     async with server.serving(servicer, '127.0.0.1', 0) as port:
-        assert await reconciler.ask(f'127.0.0.1:{port}')
+        assert await reconciler.fetch_facts(f'127.0.0.1:{port}')
     totals = local.counts.totals
     total_bytes = (
         totals['reconcile.sent-bytes'] + totals['reconcile.received-bytes']
@@ -217,7 +217,7 @@
     """Heartbeats are datagrams; on the stream they took notable CPU time."""
     pipe, _, _ = connected_nodes(LEAF_INTEREST)
     for end in pipe.ends:
-        await end.beat()
+        await end.check_heartbeat()
     cost = exchange_all(pipe)
     assert cost.messages == 0
 
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -77,13 +77,13 @@
     )
     await asyncio.sleep(0)
     while answers:
-        await link.beat()
-        assert not link.over.is_set()
+        await link.check_heartbeat()
+        assert not link.ended.is_set()
     link.handle_frame(control_pb2.Frame(progress=control_pb2.Progress()))
     for _ in range(links.MAX_MISSED_HEARTBEATS):
-        await link.beat()
-        assert not link.over.is_set()
-    await link.beat()
+        await link.check_heartbeat()
+        assert not link.ended.is_set()
+    await link.check_heartbeat()
     await link_task
     assert node.counts.totals['link.silent'] == 1
 
@@ -195,7 +195,7 @@
     )
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    link.over.set()
+    link.ended.set()
     with pytest.raises(asyncio.CancelledError):
         await link_task
 
@@ -236,8 +236,8 @@
         fresh.replica, fresh.counts, 'z1', random.Random(1)
     )
     async with serve_parent(parent) as address:
-        assert await reconciler.ask(address) == revision
-    assert await reconciler.ask(address) is None
+        assert await reconciler.fetch_facts(address) == revision
+    assert await reconciler.fetch_facts(address) is None
     assert fresh.replica.version.revision == revision
 
 
--- a/testing/test_target_contract.py
+++ b/testing/test_target_contract.py
@@ -505,7 +505,7 @@
     listening = socket.create_server(('127.0.0.1', 0))
     listening.setblocking(False)
     port = listening.getsockname()[1]
-    probe = asyncio.ensure_future(pool.refuses(port))
+    probe = asyncio.ensure_future(pool.target_has_exited(port))
     connected = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_reader(listening, connected.set)
@@ -518,7 +518,7 @@
 async def test_listening_target_does_not_count_as_refusing() -> None:
     pool = connections.ConnectionPool(counters.Counters())
     with socket.create_server(('127.0.0.1', 0)) as listening:
-        assert not await pool.refuses(listening.getsockname()[1])
+        assert not await pool.target_has_exited(listening.getsockname()[1])
 
 
 async def test_reset_of_excess_connections_does_not_count_as_refusing() -> (
@@ -534,7 +534,7 @@
         listening.accept()[0].close()
 
     loop.add_reader(listening, reset)
-    assert not await pool.refuses(listening.getsockname()[1])
+    assert not await pool.target_has_exited(listening.getsockname()[1])
     loop.remove_reader(listening)
     listening.close()
 
