--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -104,7 +104,7 @@
             result.crossings += 1
             result.far_kilobytes += pending.route.kilobytes
             if len(pending.tried) == 1:
-                result.far_first_kilobytes += pending.route.kilobytes
+                result.remote_first_kilobytes += pending.route.kilobytes
         latency_s = latency_ms / MS_IN_S
         target = self._find_host(pending.route.service, candidate.host)
         order = self._make_order(pending, candidate, target, latency_s)
--- a/src/peridotpost/experiment/results.py
+++ b/src/peridotpost/experiment/results.py
@@ -29,7 +29,7 @@
     repeats: int = 0
     crossings: int = 0
     far_kilobytes: float = 0.0
-    far_first_kilobytes: float = 0.0
+    remote_first_kilobytes: float = 0.0
     latency: histogram.Histogram = dataclasses.field(
         default_factory=histogram.Histogram
     )
@@ -70,8 +70,10 @@
         return sum(route.far_kilobytes for route in self.routes.values())
 
     @property
-    def far_first_kilobytes(self) -> float:
-        return sum(route.far_first_kilobytes for route in self.routes.values())
+    def remote_first_kilobytes(self) -> float:
+        return sum(
+            route.remote_first_kilobytes for route in self.routes.values()
+        )
 
     def to_json(self) -> dict[str, object]:
         """Return data for JSON, with times in milliseconds."""
--- a/testing/test_experiment.py
+++ b/testing/test_experiment.py
@@ -221,8 +221,8 @@
     )
     # Retries after a refusal do not depend on these constants.
     assert (
-        as_built.far_first_kilobytes
-        < 0.25 * crossing_freely.far_first_kilobytes
+        as_built.remote_first_kilobytes
+        < 0.25 * crossing_freely.remote_first_kilobytes
     )
     assert as_built.far_kilobytes < 0.5 * crossing_freely.far_kilobytes
     assert as_built.credit_share > crossing_freely.credit_share - 0.01
