--- a/src/peridotpost/cli/experiment.py
+++ b/src/peridotpost/cli/experiment.py
@@ -186,7 +186,7 @@
                 f'{route.asked:>6} {route.credit_share:>7.3f} '
                 f'{route.late:>6} {route.refused:>7} {route.failed:>6} '
                 f'{route.latency.quantile(0.99) * 1000:>7.0f} '
-                f'{route.far_kilobytes:>8.0f}'
+                f'{route.remote_kilobytes:>8.0f}'
             )
         worst_zone_share = min(result.credit_by_zone.values(), default=0.0)
         lines.append(
@@ -194,7 +194,7 @@
             f'{result.credit_share:>7.3f}   '
             f'worst zone {worst_zone_share:.3f}, '
             f'{result.hosts} hosts, {result.events} events, '
-            f'{result.far_kilobytes:.0f} KB to remote zones'
+            f'{result.remote_kilobytes:.0f} KB to remote zones'
         )
     return '\n'.join(lines)
 
--- a/src/peridotpost/experiment/ingress.py
+++ b/src/peridotpost/experiment/ingress.py
@@ -102,7 +102,7 @@
             latency_ms = self.fleet.scenario.cross_zone_ms
             result = self.fleet.route_results[pending.route.name]
             result.crossings += 1
-            result.far_kilobytes += pending.route.kilobytes
+            result.remote_kilobytes += pending.route.kilobytes
             if len(pending.tried) == 1:
                 result.remote_first_kilobytes += pending.route.kilobytes
         latency_s = latency_ms / MS_IN_S
--- a/src/peridotpost/experiment/results.py
+++ b/src/peridotpost/experiment/results.py
@@ -28,7 +28,7 @@
     arrivals: int = 0
     repeats: int = 0
     crossings: int = 0
-    far_kilobytes: float = 0.0
+    remote_kilobytes: float = 0.0
     remote_first_kilobytes: float = 0.0
     latency: histogram.Histogram = dataclasses.field(
         default_factory=histogram.Histogram
@@ -66,8 +66,8 @@
         return credit / owed if owed else 0.0
 
     @property
-    def far_kilobytes(self) -> float:
-        return sum(route.far_kilobytes for route in self.routes.values())
+    def remote_kilobytes(self) -> float:
+        return sum(route.remote_kilobytes for route in self.routes.values())
 
     @property
     def remote_first_kilobytes(self) -> float:
@@ -83,7 +83,7 @@
             'hosts': self.hosts,
             'events': self.events,
             'credit': round(self.credit_share, 4),
-            'far_kilobytes': round(self.far_kilobytes, 1),
+            'far_kilobytes': round(self.remote_kilobytes, 1),
             'zones': {
                 zone: round(self.credit_by_zone[zone], 4)
                 for zone in sorted(self.credit_by_zone)
@@ -105,7 +105,7 @@
         'arrivals': route.arrivals,
         'repeats': route.repeats,
         'crossings': route.crossings,
-        'far_kilobytes': round(route.far_kilobytes, 1),
+        'far_kilobytes': round(route.remote_kilobytes, 1),
     }
     for share in QUANTILES:
         name = f'p{share * 100:g}_ms'
--- a/src/peridotpost/load/report.py
+++ b/src/peridotpost/load/report.py
@@ -36,7 +36,7 @@
     false_not_run: int = 0
     answered_unrun: int = 0
 
-    def note(self, outcome: str, seconds: float) -> None:
+    def record(self, outcome: str, seconds: float) -> None:
         latencies = self.outcomes.setdefault(outcome, histogram.Histogram())
         latencies.add(seconds)
 
--- a/src/peridotpost/load/runner.py
+++ b/src/peridotpost/load/runner.py
@@ -128,7 +128,7 @@
         )
         outcome = await self._send(connection_pool, request)
         latency_s = asyncio.get_running_loop().time() - due
-        self.result.note(outcome, latency_s)
+        self.result.record(outcome, latency_s)
         if key:
             self.outcome_by_key[key] = outcome
 
--- a/src/peridotpost/standins/platform.py
+++ b/src/peridotpost/standins/platform.py
@@ -81,8 +81,8 @@
         self.faults = Faults()
         self.faults_changed = asyncio.Event()
         self.counts: collections.Counter[str] = collections.Counter()
-        self.writes = Quota(writes_per_s)
-        self.reads = Quota(reads_per_s)
+        self.write_quota = Quota(writes_per_s)
+        self.read_quota = Quota(reads_per_s)
         self.lease_ids = itertools.count(1001)
 
     def set_faults(self, faults: Faults) -> None:
@@ -91,7 +91,9 @@
         self.faults_changed = asyncio.Event()
 
     def within_quota(self, method: str) -> bool:
-        quota = self.writes if method in WRITE_METHODS else self.reads
+        quota = (
+            self.write_quota if method in WRITE_METHODS else self.read_quota
+        )
         return quota.take(time.monotonic())
 
     def answer(self, method: str, body: dict[str, Any]) -> dict[str, Any]:
--- a/testing/test_experiment.py
+++ b/testing/test_experiment.py
@@ -224,7 +224,7 @@
         as_built.remote_first_kilobytes
         < 0.25 * crossing_freely.remote_first_kilobytes
     )
-    assert as_built.far_kilobytes < 0.5 * crossing_freely.far_kilobytes
+    assert as_built.remote_kilobytes < 0.5 * crossing_freely.remote_kilobytes
     assert as_built.credit_share > crossing_freely.credit_share - 0.01
     own_zone_only = play(double_load, seed, selection__WORTH_CROSSING=0.0)
     worst = min(as_built.credit_by_zone.values())
@@ -242,7 +242,7 @@
     """
     as_built = play(double_load, seed)
     crossing_freely = play(double_load, seed, selection__FULL_LOAD=1.2)
-    assert as_built.far_kilobytes < 0.9 * crossing_freely.far_kilobytes
+    assert as_built.remote_kilobytes < 0.9 * crossing_freely.remote_kilobytes
     assert as_built.credit_share > crossing_freely.credit_share - 0.01
 
 
--- a/testing/test_load.py
+++ b/testing/test_load.py
@@ -219,7 +219,7 @@
 
 def write_result(path: pathlib.Path, name: str, seconds: float) -> str:
     result = report.Result(plan={'rate': 1})
-    result.note('200 answered', seconds)
+    result.record('200 answered', seconds)
     file = path / name
     file.write_text(json.dumps(result.to_json()))
     return str(file)
--- a/testing/test_store_contract.py
+++ b/testing/test_store_contract.py
@@ -53,8 +53,8 @@
         if isinstance(self.backend, fakes.FakeStore):
             self.backend.over_quota = True
         else:
-            self.backend.reads.per_second = -1
-            self.backend.writes.per_second = -1
+            self.backend.read_quota.per_second = -1
+            self.backend.write_quota.per_second = -1
 
     def end_watches(self) -> None:
         if isinstance(self.backend, fakes.FakeStore):
